--- a/batch/scheduler/__utils__/fleet.ts
+++ b/batch/scheduler/__utils__/fleet.ts
@@ -65,20 +65,20 @@
   #room(description: ReturnType<typeof createUpstream>) {
     let used = noResources
     let stopping = noResources
-    for (const run of this.state.placements.on(description.upstreamId).values()) {
+    for (const run of this.state.placements.getByUpstream(description.upstreamId).values()) {
       const needs = this.state.jobs.get(run.jobId)?.request.steps[run.step]?.needs ?? noResources
       used = addResources(used, needs)
       if (this.#stopping.has(name(run))) stopping = addResources(stopping, needs)
     }
     const free = addResources(description.capacity, used, -1)
-    const runs = [...this.state.placements.on(description.upstreamId).values()]
+    const runs = [...this.state.placements.getByUpstream(description.upstreamId).values()]
     const isQuiet = runs.every((run) => this.proven.has(name(run)))
     return { ...description, free, soon: addResources(free, stopping), isQuiet }
   }
 
   #runs(): ActiveRun[] {
     return [...this.state.upstreams.keys()].flatMap((upstreamId) =>
-      [...this.state.placements.on(upstreamId).values()].map((placement) => ({
+      [...this.state.placements.getByUpstream(upstreamId).values()].map((placement) => ({
         placement,
         needs:
           this.state.jobs.get(placement.jobId)?.request.steps[placement.step]?.needs ?? noResources,
--- a/batch/service/src/batchLeader.ts
+++ b/batch/service/src/batchLeader.ts
@@ -5,7 +5,7 @@
 import { runKey, toDescription, type Announcement } from '@nettlespur/batch.model'
 import { SessionHost, type UpstreamPort } from '@nettlespur/batch.sessions'
 import {
-  isLateAnnouncement,
+  isStaleAnnouncement,
   listPlacements,
   type BatchState,
   type Command,
@@ -118,7 +118,7 @@
     const { upstreamId, isDraining, drainRemainingMs } = announcement
     const known = this.#state.upstreams.get(upstreamId)
     if (known?.hasLeft === true || !this.#isOfKnownPool(announcement)) return
-    if (isLateAnnouncement(known, announcement.sequence)) return
+    if (isStaleAnnouncement(known, announcement.sequence)) return
     const wasUsable = this.#isUsable(upstreamId)
     if (!this.#roster.note(announcement)) return
     const description = toDescription(announcement)
@@ -147,7 +147,7 @@
   }
 
   override listPlacements(upstreamId: string): ReadonlyMap<string, Placement> {
-    return this.#state.placements.on(upstreamId)
+    return this.#state.placements.getByUpstream(upstreamId)
   }
 
   override shouldStop(placement: Placement): boolean {
--- a/batch/service/src/buildView.ts
+++ b/batch/service/src/buildView.ts
@@ -66,7 +66,7 @@
   }
   let used: Resources = noResources
   let stopping: Resources = noResources
-  for (const placement of opts.state.placements.on(upstreamId).values()) {
+  for (const placement of opts.state.placements.getByUpstream(upstreamId).values()) {
     const needs = findStep(opts.state, placement)?.needs ?? noResources
     used = addResources(used, needs)
     if (opts.isStopping(placement)) stopping = addResources(stopping, needs)
@@ -85,7 +85,7 @@
 
 /** What runs on one upstream, and when it is expected to end. */
 export function listRuns(opts: ListRunsOptions, upstreamId: string): ActiveRun[] {
-  return [...opts.state.placements.on(upstreamId).values()].map((placement) => {
+  return [...opts.state.placements.getByUpstream(upstreamId).values()].map((placement) => {
     const step = findStep(opts.state, placement)
     const track = opts.findTrack(placement)
     return {
--- a/batch/service/src/housekeeper.ts
+++ b/batch/service/src/housekeeper.ts
@@ -55,7 +55,7 @@
 function listLeft({ upstreams, placements }: BatchState): Set<string> {
   const left = new Set<string>()
   for (const [upstreamId, { hasLeft }] of upstreams) {
-    if (hasLeft && placements.on(upstreamId).size === 0) left.add(upstreamId)
+    if (hasLeft && placements.getByUpstream(upstreamId).size === 0) left.add(upstreamId)
   }
   return left
 }
--- a/batch/service/src/schedulingRounds.ts
+++ b/batch/service/src/schedulingRounds.ts
@@ -136,7 +136,7 @@
   #startPlaced(placement: Placement): void {
     const { clock, getState, jobClock, roster } = this.#opts
     const { jobId, upstreamId } = placement
-    if (!getState().placements.on(upstreamId).has(runKey(placement))) return
+    if (!getState().placements.getByUpstream(upstreamId).has(runKey(placement))) return
     const waitedMs = Math.round(jobClock.waitedMs(jobId, clock.monotonicMs()))
     this.#log('placement.decided', placement, { waitedMs })
     roster.open(upstreamId)?.start(placement)
--- a/batch/service/test/batchLeader.test.ts
+++ b/batch/service/test/batchLeader.test.ts
@@ -29,7 +29,7 @@
   t.true(isRecorded)
   for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
   await fleet.clock.advance(settledMs)
-  t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
+  t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(0)).size, 0)
   t.is(fleet.ledger.starts.length, upstreamCount - 1)
 })
 
@@ -42,7 +42,7 @@
   await fleet.clock.advance(settledMs)
   for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
   await fleet.clock.advance(settledMs)
-  t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
+  t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(0)).size, 0)
 })
 
 test('what runs of a cancelled job is stopped, and what waits of it never starts', async (t) => {
@@ -153,7 +153,7 @@
   for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
   await fleet.clock.advance(takeoverMs)
   t.is(fleet.ledger.starts.length, upstreamCount - 1)
-  t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
+  t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(0)).size, 0)
 })
 
 test('a new leader stops nothing for work that upstreams have room for which answer a little later', async (t) => {
@@ -167,7 +167,7 @@
   await fleet.clock.advance(takeoverMs)
   t.is(countStarted(fleet, 'guaranteed'), 2)
   t.is(countStarted(fleet, 'borrower'), 2)
-  t.is(fleet.state.placements.on(findFirstPlace(fleet, 'borrower')).size, 1)
+  t.is(fleet.state.placements.getByUpstream(findFirstPlace(fleet, 'borrower')).size, 1)
 })
 
 test('an upstream that answers but no longer announces itself gets no new work', async (t) => {
@@ -181,7 +181,7 @@
   fleet.submit(createJob('more', { taskCount: 3, needs, expectedRunTimeMs: 60_000 }), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'more'), 3)
-  t.is(fleet.state.placements.on(fleet.upstreamIdOf(at)).size, 1)
+  t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(at)).size, 1)
 })
 
 function findFirstPlace(fleet: FakeFleet, jobId: string): string {
--- a/batch/service/test/foreignAnnouncements.test.ts
+++ b/batch/service/test/foreignAnnouncements.test.ts
@@ -56,5 +56,5 @@
   const late = createAnnouncement(fleet, { upstreamId: 'former-life', sequence: 1 })
   await hear(fleet, late)
   t.is(await countUsed(fleet), upstreamCount)
-  t.true(fleet.state.placements.on(fleet.upstreamIdOf(0)).size > 0)
+  t.true(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(0)).size > 0)
 })
--- a/batch/service/test/goneUpstream.test.ts
+++ b/batch/service/test/goneUpstream.test.ts
@@ -89,7 +89,7 @@
   }
 
   override listPlacements(): ReadonlyMap<string, Placement> {
-    return this.state.placements.on(upstreamId)
+    return this.state.placements.getByUpstream(upstreamId)
   }
 
   override shouldStop(): boolean {
@@ -137,7 +137,7 @@
   const late = host.place(1)
   session.start(late)
   await clock.advance(10_000)
-  t.false(host.state.placements.on(upstreamId).has(runKey(late)))
+  t.false(host.state.placements.getByUpstream(upstreamId).has(runKey(late)))
   t.deepEqual(host.gone, [upstreamId])
 })
 
@@ -146,6 +146,6 @@
   host.failing = 3
   session.start(host.place(0))
   await clock.advance(10_000)
-  t.is(host.state.placements.on(upstreamId).size, 0)
+  t.is(host.state.placements.getByUpstream(upstreamId).size, 0)
   t.deepEqual(host.gone, [upstreamId])
 })
--- a/batch/state/src/batchState.ts
+++ b/batch/state/src/batchState.ts
@@ -26,7 +26,7 @@
 export type BatchSnapshot = z.infer<typeof batchSnapshotSchema>
 
 /** The description that is kept comes from a later announcement: an upstream's room may have shrunk meanwhile. */
-export function isLateAnnouncement(
+export function isStaleAnnouncement(
   known: UpstreamRecord | undefined,
   sequence: number | undefined,
 ): boolean {
@@ -53,7 +53,7 @@
     for (const job of snapshot.jobs) {
       state.jobs.set(job.request.jobId, job)
       state.placements.addJob(job)
-      state.#settle(job)
+      state.#updateUnsettled(job)
     }
     return state
   }
@@ -105,15 +105,15 @@
   #submitJob({ request, workspace, queueName }: CommandOf<'submit-job'>): CommandOutcome {
     const known = this.jobs.get(request.jobId)
     if (known !== undefined) {
-      const same = known.workspace === workspace && isDeepStrictEqual(known.request, request)
-      return same ? 'unchanged' : 'conflict'
+      const isSame = known.workspace === workspace && isDeepStrictEqual(known.request, request)
+      return isSame ? 'unchanged' : 'conflict'
     }
     const queue = this.config?.queues.find(({ name }) => name === queueName)
     if (queue === undefined) return 'unknown-queue'
     this.#acceptedJobs += 1
     const job = createJobRecord({ request, workspace, queue, number: this.#acceptedJobs })
     this.jobs.set(request.jobId, job)
-    this.#settle(job)
+    this.#updateUnsettled(job)
     return 'done'
   }
 
@@ -122,7 +122,7 @@
     if (job === undefined) return 'unknown-job'
     if (job.status !== 'active') return 'unchanged'
     job.status = 'cancelled'
-    this.#settle(job)
+    this.#updateUnsettled(job)
     return 'done'
   }
 
@@ -151,18 +151,18 @@
     for (const end of ends) {
       const job = this.jobs.get(end.jobId)
       if (job === undefined) continue
-      const over = endRun(job, end)
-      if (over.length === 0) continue
+      const endedPlacements = endRun(job, end)
+      if (endedPlacements.length === 0) continue
       outcome = 'done'
-      for (const placement of over) this.placements.remove(placement)
-      this.#settle(job)
+      for (const placement of endedPlacements) this.placements.remove(placement)
+      this.#updateUnsettled(job)
     }
     return outcome
   }
 
   #noteUpstream({ description, sequence }: CommandOf<'note-upstream'>): CommandOutcome {
     const known = this.upstreams.get(description.upstreamId)
-    if (isLateAnnouncement(known, sequence)) return 'unchanged'
+    if (isStaleAnnouncement(known, sequence)) return 'unchanged'
     this.upstreams.set(description.upstreamId, {
       description,
       ...(sequence === undefined ? {} : { sequence }),
@@ -180,7 +180,7 @@
   }
 
   #forgetUpstream(upstreamId: string): void {
-    if (this.placements.on(upstreamId).size === 0) this.upstreams.delete(upstreamId)
+    if (this.placements.getByUpstream(upstreamId).size === 0) this.upstreams.delete(upstreamId)
   }
 
   #forgetJob(jobId: string): void {
@@ -188,7 +188,7 @@
   }
 
   /** Keeps the job among the unsettled ones for as long as it may run, or has something placed. */
-  #settle(job: JobRecord): void {
+  #updateUnsettled(job: JobRecord): void {
     const { jobId } = job.request
     const isOpen = job.status === 'active' || hasPlacements(job)
     if (isOpen) this.unsettled.set(jobId, job)
--- a/batch/state/src/crashRecord.ts
+++ b/batch/state/src/crashRecord.ts
@@ -34,11 +34,11 @@
 export type CrashRecord = z.infer<typeof crashRecordSchema>
 
 /** Agreed with the users: after two such crashes a task may be given up; one more for an upstream that crashes by itself. */
-const blamedMax = 3
+const blamedCrashesMax = 3
 /** Agreed with the users: after this many crashes a task that causes them is started fewer than as many times more. */
-const countedCrashes = 3
-const startsAfterThirdMax = countedCrashes - 1
-const crashesMax = countedCrashes + startsAfterThirdMax
+const crashesBeforeStartLimit = 3
+const startsAfterThirdCrashMax = crashesBeforeStartLimit - 1
+const crashesMax = crashesBeforeStartLimit + startsAfterThirdCrashMax
 /** Once is bad luck with a neighbour. */
 const blamelessCrashesMax = 1
 
@@ -55,7 +55,7 @@
     crashes,
     suspected: before.suspected + Number(blame !== 'none'),
     blamed: before.blamed + Number(blame === 'blamed'),
-    ...(crashes === countedCrashes ? { thirdAttempt: attempt } : {}),
+    ...(crashes === crashesBeforeStartLimit ? { thirdAttempt: attempt } : {}),
   }
 }
 
@@ -63,8 +63,8 @@
 export function isPoison(record: CrashRecord | undefined, attempt: number): boolean {
   if (record === undefined) return false
   const { crashes, suspected, blamed, thirdAttempt = Infinity } = record
-  if (blamed >= blamedMax || crashes >= crashesMax) return true
-  return suspected > 0 && attempt >= thirdAttempt + startsAfterThirdMax
+  if (blamed >= blamedCrashesMax || crashes >= crashesMax) return true
+  return suspected > 0 && attempt >= thirdAttempt + startsAfterThirdCrashMax
 }
 
 /** Its next start is to show whether it is to blame: it is a start on trial. */
--- a/batch/state/src/endRun.ts
+++ b/batch/state/src/endRun.ts
@@ -6,7 +6,7 @@
 import type { JobRecord, StepRecord, TaskRecord } from './records.js'
 
 /** Of an end that does not say who brought its upstream down. */
-const unknownBlame = 'suspected'
+const defaultBlame = 'suspected'
 
 /**
  * The placements that are over with it: of a gang that is done all members. None where the run is not the one that
@@ -19,17 +19,17 @@
   if (task.phase !== 'placed' || task.attempt !== end.attempt) return []
   if (task.upstreamId !== end.upstreamId) return []
   const isGang = job.request.steps[end.step]?.isGang === true
-  const over =
+  const endedPlacements =
     isGang && end.outcome === 'done' ? listStepPlacements(job, end.step) : [toPlacement(end)]
-  release(task)
+  releaseTask(task)
   if (end.outcome === 'crashed') {
-    const { attempt, blame = unknownBlame } = end
+    const { attempt, blame = defaultBlame } = end
     task.crashes = countCrash(task.crashes, { attempt, blame })
   }
   if (isGang) endGangMember(step, task, end)
   else endTask(task, end)
-  if (job.status === 'active') judge(job)
-  return over
+  if (job.status === 'active') updateJobStatus(job)
+  return endedPlacements
 }
 
 function toPlacement({ jobId, step, index, attempt, upstreamId }: RunEnd): Placement {
@@ -50,7 +50,7 @@
   const { outcome, attempt, checkpoint, upstreamId } = end
   if (outcome === 'done') {
     step.tasks.forEach((member) => {
-      release(member)
+      releaseTask(member)
       member.phase = 'done'
     })
     return
@@ -71,12 +71,12 @@
   step.gangFailures += 1
 }
 
-function release(task: TaskRecord): void {
+function releaseTask(task: TaskRecord): void {
   task.phase = 'waiting'
   delete task.upstreamId
 }
 
-function judge(job: JobRecord): void {
+function updateJobStatus(job: JobRecord): void {
   const failure = findFailure(job)
   if (failure !== undefined) {
     job.status = 'failed'
--- a/batch/state/src/findFailure.ts
+++ b/batch/state/src/findFailure.ts
@@ -9,13 +9,13 @@
     if (isGang && record.gangFailures >= queue.attemptsMax) {
       return { reason: 'attempts-used-up', step }
     }
-    const found = judgeTasks(record, queue.attemptsMax)
+    const found = findTaskFailure(record, queue.attemptsMax)
     if (found !== undefined) return { ...found, step }
   }
   return undefined
 }
 
-function judgeTasks(
+function findTaskFailure(
   { tasks }: StepRecord,
   attemptsMax: number,
 ): Pick<JobFailure, 'reason' | 'index'> | undefined {
--- a/batch/state/src/index.ts
+++ b/batch/state/src/index.ts
@@ -3,7 +3,7 @@
 export {
   batchSnapshotSchema,
   BatchState,
-  isLateAnnouncement,
+  isStaleAnnouncement,
   type BatchSnapshot,
 } from './batchState.js'
 export * from './command.js'
--- a/batch/state/src/placementIndex.ts
+++ b/batch/state/src/placementIndex.ts
@@ -3,7 +3,7 @@
 import type { Placement } from './command.js'
 import type { JobRecord } from './records.js'
 
-const none: ReadonlyMap<string, Placement> = new Map()
+const noPlacements: ReadonlyMap<string, Placement> = new Map()
 
 export class PlacementIndex {
   readonly #byUpstream = new Map<string, Map<string, Placement>>()
@@ -14,8 +14,8 @@
   }
 
   /** By run key. */
-  on(upstreamId: string): ReadonlyMap<string, Placement> {
-    return this.#byUpstream.get(upstreamId) ?? none
+  getByUpstream(upstreamId: string): ReadonlyMap<string, Placement> {
+    return this.#byUpstream.get(upstreamId) ?? noPlacements
   }
 
   add(placement: Placement): void {
--- a/batch/state/test/batchState.test.ts
+++ b/batch/state/test/batchState.test.ts
@@ -49,8 +49,8 @@
   submit(state, createJob('j', {}))
   place(state, { attempt: 1 })
   place(state, { attempt: 2, upstreamId: 'u2' })
-  t.is(state.placements.on('u1').size, 1)
-  t.is(state.placements.on('u2').size, 0)
+  t.is(state.placements.getByUpstream('u1').size, 1)
+  t.is(state.placements.getByUpstream('u2').size, 0)
 })
 
 test('an end counts once, and only for the run that is placed', (t) => {
@@ -89,7 +89,7 @@
   const [first] = [0, 1].map((index) => place(state, { index, attempt: 1 }))
   if (first !== undefined) end(state, first, 'done')
   t.is(state.jobs.get('j')?.status, 'completed')
-  t.is(state.placements.on('u1').size, 0)
+  t.is(state.placements.getByUpstream('u1').size, 0)
 })
 
 test('a checkpoint outlives the run, and all members of a gang resume from the same one', (t) => {
@@ -139,7 +139,10 @@
   place(state, { attempt: 1 })
   const restored = BatchState.restore(structuredClone(state.snapshot()))
   t.deepEqual(restored.snapshot(), state.snapshot())
-  t.deepEqual([...restored.placements.on('u1').keys()], [...state.placements.on('u1').keys()])
+  t.deepEqual(
+    [...restored.placements.getByUpstream('u1').keys()],
+    [...state.placements.getByUpstream('u1').keys()],
+  )
   const job = restored.jobs.get('j')
   t.is(job === undefined ? undefined : describeJob(job), 'running')
 })
--- a/batch/state/test/foreignRecords.test.ts
+++ b/batch/state/test/foreignRecords.test.ts
@@ -28,14 +28,16 @@
 }
 
 /** Every way to add one field that this version does not know, at each object within. */
-function listNewer(value: unknown): unknown[] {
+function listWithUnknownField(value: unknown): unknown[] {
   if (Array.isArray(value)) {
     const items: unknown[] = value
-    return items.flatMap((item, at) => listNewer(item).map((newer) => items.with(at, newer)))
+    return items.flatMap((item, at) =>
+      listWithUnknownField(item).map((newer) => items.with(at, newer)),
+    )
   }
   if (typeof value !== 'object' || value === null) return []
   const inner = Object.entries(value).flatMap(([key, field]) =>
-    listNewer(field).map((newer) => ({ ...value, [key]: newer })),
+    listWithUnknownField(field).map((newer) => ({ ...value, [key]: newer })),
   )
   return [{ ...value, fieldOfNewerVersion: 1 }, ...inner]
 }
@@ -54,7 +56,7 @@
 
 test('a command with a field of a newer version is refused by its index, and changes nothing', (t) => {
   for (const command of commands) {
-    for (const newer of listNewer(command)) {
+    for (const newer of listWithUnknownField(command)) {
       const machine = createMachine()
       const bytes = Buffer.from(JSON.stringify(newer))
       assertRefused(machine, /command at 77/, () => machine.apply(77, bytes))
@@ -65,7 +67,7 @@
 
 test('a snapshot with a field of a newer version is refused by its index, and changes nothing', (t) => {
   const snapshot = JSON.parse(createMachine().takeSnapshot().toString()) as unknown
-  for (const newer of listNewer(snapshot)) {
+  for (const newer of listWithUnknownField(snapshot)) {
     const machine = createMachine()
     assertRefused(machine, /snapshot at 77/, () => {
       machine.restore(77, Buffer.from(JSON.stringify(newer)))
--- a/batch/state/test/placementIndex.test.ts
+++ b/batch/state/test/placementIndex.test.ts
@@ -8,7 +8,7 @@
 const jobIds = ['gang', 'free', 'steps']
 const tasksMax = 4
 
-const refArbitrary = fc.record({
+const placementArbitrary = fc.record({
   jobId: fc.constantFrom(...jobIds),
   step: fc.nat({ max: 1 }),
   index: fc.nat({ max: tasksMax - 1 }),
@@ -18,14 +18,16 @@
 const commandArbitrary = fc.oneof(
   fc.record({
     type: fc.constant('place-tasks' as const),
-    placements: fc.array(refArbitrary, { maxLength: 6 }),
+    placements: fc.array(placementArbitrary, { maxLength: 6 }),
   }),
   fc.record({
     type: fc.constant('end-runs' as const),
     ends: fc.array(
-      fc.tuple(refArbitrary, fc.constantFrom(...runOutcomeSchema.options)).map(([run, outcome]) => {
-        return { ...run, outcome }
-      }),
+      fc
+        .tuple(placementArbitrary, fc.constantFrom(...runOutcomeSchema.options))
+        .map(([run, outcome]) => {
+          return { ...run, outcome }
+        }),
       { maxLength: 6 },
     ),
   }),
@@ -54,7 +56,7 @@
 
 function listIndexed(state: BatchState): Placement[][] {
   return upstreamIds.map((upstreamId) => {
-    const runs = [...state.placements.on(upstreamId)]
+    const runs = [...state.placements.getByUpstream(upstreamId)]
     return runs.sort(([left], [right]) => left.localeCompare(right)).map(([, run]) => run)
   })
 }
@@ -64,9 +66,9 @@
     fc.property(fc.array(commandArbitrary, { maxLength: 30 }), (commands) => {
       const state = createState()
       for (const command of commands) state.apply(command)
-      const anew = BatchState.restore(structuredClone(state.snapshot()))
-      t.deepEqual(listIndexed(state), listIndexed(anew))
-      t.deepEqual([...state.unsettled.keys()].sort(), [...anew.unsettled.keys()].sort())
+      const rebuilt = BatchState.restore(structuredClone(state.snapshot()))
+      t.deepEqual(listIndexed(state), listIndexed(rebuilt))
+      t.deepEqual([...state.unsettled.keys()].sort(), [...rebuilt.unsettled.keys()].sort())
     }),
     { numRuns: 300 },
   )
