--- a/batch/state/src/batchMachine.ts
+++ b/batch/state/src/batchMachine.ts
@@ -1,4 +1,4 @@
-/** Applies committed commands to the state, on each member alike. Commands and snapshots are JSON. */
+/** The Raft state machine: applies committed commands to the batch state. Commands and snapshots are JSON. */
 import { readStoredJson, StateMachine } from '@nettlespur/consensus.raft'
 import { Subject } from 'rxjs'
 import { batchSnapshotSchema, BatchState } from './batchState.js'
@@ -6,7 +6,7 @@
 
 export class BatchMachine extends StateMachine<CommandOutcome> {
   state = new BatchState()
-  /** Told after each applied command. */
+  /** Emits each command after it has been applied. */
   readonly applied = new Subject<Command>()
 
   apply(index: number, command: Buffer): CommandOutcome {
--- a/batch/state/src/batchState.ts
+++ b/batch/state/src/batchState.ts
@@ -1,6 +1,6 @@
 /**
- * The state that all members of control agree on: the configuration, the jobs with the placement of each
- * task, and the upstreams. Commands give the same result on each member.
+ * The replicated state of all control members: the configuration, the jobs with the placement of each task, and
+ * the upstreams. Applying a command is deterministic, so every member computes the same state.
  */
 import { clusterConfigSchema, type ClusterConfig } from '@nettlespur/batch.model'
 import { isDeepStrictEqual } from 'node:util'
@@ -16,7 +16,7 @@
   type UpstreamRecord,
 } from './records.js'
 
-/** Fields of a newer version are refused, here as in all that is stored: what they change would be lost. */
+/** Rejects unknown fields, as all stored schemas do: dropping a field of a newer version would lose its effect. */
 export const batchSnapshotSchema = z.strictObject({
   config: clusterConfigSchema.optional(),
   jobs: z.array(jobRecordSchema),
@@ -25,7 +25,10 @@
 })
 export type BatchSnapshot = z.infer<typeof batchSnapshotSchema>
 
-/** The description that is kept comes from a later announcement: an upstream's room may have shrunk meanwhile. */
+/**
+ * Whether the stored description comes from a newer announcement than `sequence`. Announcements may arrive out of order,
+ * and an older one may state capacity that the upstream no longer has.
+ */
 export function isStaleAnnouncement(
   known: UpstreamRecord | undefined,
   sequence: number | undefined,
@@ -37,7 +40,7 @@
 export class BatchState {
   config: ClusterConfig | undefined
   readonly jobs = new Map<string, JobRecord>()
-  /** Jobs that may still have something to run or to stop. */
+  /** Jobs that are active or still have placed runs, by job id. */
   readonly unsettled = new Map<string, JobRecord>()
   readonly upstreams = new Map<string, UpstreamRecord>()
   readonly placements = new PlacementIndex()
@@ -126,7 +129,7 @@
     return 'done'
   }
 
-  /** Takes each placement whose task still waits and whose attempt is the next one. */
+  /** Applies each placement whose task is waiting and whose attempt is newer than the last; skips the others. */
   #placeTasks({ placements }: CommandOf<'place-tasks'>): CommandOutcome {
     for (const placement of placements) {
       const job = this.jobs.get(placement.jobId)
@@ -143,8 +146,8 @@
   }
 
   /**
-   * Touches only what an end touches: listing all of a job's runs for each of its ends would take most of the time in
-   * which a member that starts again applies its log.
+   * Updates the index only for the placements that each end removes. Listing all runs of the job for every end
+   * would dominate the time in which a restarting member replays its log.
    */
   #endRuns(ends: readonly RunEnd[]): CommandOutcome {
     let outcome: CommandOutcome = 'unchanged'
@@ -187,7 +190,7 @@
     if (!this.unsettled.has(jobId)) this.jobs.delete(jobId)
   }
 
-  /** Keeps the job among the unsettled ones for as long as it may run, or has something placed. */
+  /** Adds the job to `unsettled` while it is active or has placed runs, and removes it otherwise. */
   #updateUnsettled(job: JobRecord): void {
     const { jobId } = job.request
     const isOpen = job.status === 'active' || hasPlacements(job)
--- a/batch/state/src/command.ts
+++ b/batch/state/src/command.ts
@@ -1,4 +1,4 @@
-/** Every change of the state: what is proposed to the log. */
+/** The commands that change the batch state, as they are proposed to the Raft log, and their outcomes. */
 import {
   clusterConfigSchema,
   jobRequestSchema,
@@ -12,13 +12,13 @@
 export const runOutcomeSchema = z.enum([
   'done',
   'failed',
-  /** It was stopped on an order. */
+  /** Stopped on the leader's order. */
   'stopped',
-  /** Its lease ran out, or its upstream has left, or it never began and never will. */
+  /** Its lease expired, its upstream left, or it was never started and will not be. */
   'lost',
-  /** Its upstream crashed under it, or fell silent for good. */
+  /** Its upstream crashed, or stayed silent until the lease had expired. */
   'crashed',
-  /** Another member of its gang ended. */
+  /** Another member of its gang ended, or not all members started in time. */
   'broken',
 ])
 export type RunOutcome = z.infer<typeof runOutcomeSchema>
@@ -28,9 +28,9 @@
 
 export const runEndSchema = placementSchema.extend({
   outcome: runOutcomeSchema,
-  /** Absent where none was saved during the run. */
+  /** Absent or empty if the run saved none. */
   checkpoint: z.string().optional(),
-  /** With outcome `crashed`. */
+  /** Only set with outcome `crashed`, and absent there if an earlier version proposed the end. */
   blame: crashBlameSchema.optional(),
 })
 export type RunEnd = z.infer<typeof runEndSchema>
@@ -49,7 +49,7 @@
   z.strictObject({
     type: z.literal('note-upstream'),
     description: upstreamDescriptionSchema,
-    /** Of the announcement; absent where a former version proposed it. */
+    /** Sequence number of the announcement; absent if an earlier version proposed the command. */
     sequence: z.number().optional(),
   }),
   z.strictObject({ type: z.literal('drain-upstream'), upstreamId: z.string() }),
@@ -60,14 +60,14 @@
 export type Command = z.infer<typeof commandSchema>
 export type CommandOf<T extends Command['type']> = Extract<Command, { type: T }>
 
-/** What became of a command. */
+/** Result of applying a command. */
 export const commandOutcomes = [
   'done',
-  /** The state held this already, or something newer. */
+  /** The state already holds this change or a newer one, or the command does not apply. */
   'unchanged',
   'unknown-queue',
   'unknown-job',
-  /** The same id stands for other content. */
+  /** A job with the same id but different content exists. */
   'conflict',
 ] as const
 export type CommandOutcome = (typeof commandOutcomes)[number]
--- a/batch/state/src/crashRecord.ts
+++ b/batch/state/src/crashRecord.ts
@@ -1,45 +1,45 @@
 /**
- * How often an upstream crashed under a task, and when it is a poison task: one that brings down each upstream that starts
- * it, with all that runs beside it. Members of a gang count each by itself: that upstreams crash under one member and then
- * under another says nothing against either.
+ * Counts the upstream crashes during a task's runs and decides when it is a poison task: one that crashes every upstream
+ * that starts it, along with all other runs there. Gang members are counted separately, because a crash under one
+ * member and a later one under another are no evidence against either.
  *
- * A crash counts for every run that went down with the upstream, but not alike: only those that had just started can have
- * brought it down, as far as is known. So sound work is not given up for what its neighbours do, while the number of all
- * crashes is bounded however the blame falls.
+ * A crash counts for every run on the upstream, but with different blame: a run crashes its upstream as it starts, so
+ * the runs that had just started are the suspects. Blame keeps healthy tasks from being given up for crashes that
+ * other runs cause; the limit on all crashes bounds the restarts whoever is blamed.
  */
 import { countSchema } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 
-/** What speaks against a run under which its upstream crashed. */
+/** How likely it is that a run caused the crash of its upstream. */
 export const crashBlameSchema = z.enum([
-  /** It had been at work for a while, and others had just started. */
+  /** It had been running for a while and others had just started, or it had not been started. */
   'none',
-  /** It may have done it, if the upstream crashed at all and not before the run had started. */
+  /** It may be the cause, but it is uncertain whether the upstream crashed, the run had started or another run did it. */
   'suspected',
-  /** It had just started when the upstream surely crashed. */
+  /** It had just started, and the upstream certainly crashed. */
   'blamed',
 ])
 export type CrashBlame = z.infer<typeof crashBlameSchema>
 
 export const crashRecordSchema = z.strictObject({
-  /** Runs under which an upstream crashed, or fell silent for good. */
+  /** Runs that ended because their upstream crashed, or stayed silent until the lease had expired. */
   crashes: countSchema,
-  /** Those that may have done it. */
+  /** Crashes with blame `suspected` or `blamed`. */
   suspected: countSchema,
-  /** Those that had just started when the upstream surely crashed. */
+  /** Crashes with blame `blamed`. */
   blamed: countSchema,
-  /** The attempt of the third crash; absent before. */
+  /** Attempt number of the third crash; absent until then. */
   thirdAttempt: countSchema.optional(),
 })
 export type CrashRecord = z.infer<typeof crashRecordSchema>
 
-/** Agreed with the users: after two such crashes a task may be given up; one more for an upstream that crashes by itself. */
+/** Users agreed to give up a task after two such crashes; the third allows for an upstream that crashes by itself. */
 const blamedCrashesMax = 3
-/** Agreed with the users: after this many crashes a task that causes them is started fewer than as many times more. */
+/** Agreed with the users: a task that causes crashes is started fewer than 3 more times after its third crash. */
 const crashesBeforeStartLimit = 3
 const startsAfterThirdCrashMax = crashesBeforeStartLimit - 1
 const crashesMax = crashesBeforeStartLimit + startsAfterThirdCrashMax
-/** Once is bad luck with a neighbour. */
+/** A single crash without suspicion is put down to another run on the same upstream. */
 const blamelessCrashesMax = 1
 
 export interface Crash {
@@ -59,7 +59,7 @@
   }
 }
 
-/** It is not to be started again. `attempt` is its last one, however that ended. */
+/** Whether the task must not be started again. `attempt` is its last attempt, whatever its outcome. */
 export function isPoison(record: CrashRecord | undefined, attempt: number): boolean {
   if (record === undefined) return false
   const { crashes, suspected, blamed, thirdAttempt = Infinity } = record
@@ -67,7 +67,7 @@
   return suspected > 0 && attempt >= thirdAttempt + startsAfterThirdCrashMax
 }
 
-/** Its next start is to show whether it is to blame: it is a start on trial. */
+/** Whether the task's next start is a trial, which shows whether the task crashes its upstream. */
 export function isSuspect(record: CrashRecord | undefined): boolean {
   if (record === undefined) return false
   return record.suspected > 0 || record.crashes > blamelessCrashesMax
--- a/batch/state/src/createJobRecord.ts
+++ b/batch/state/src/createJobRecord.ts
@@ -1,4 +1,4 @@
-/** A job as it is kept when it has just been accepted. */
+/** Creates the record of a newly accepted job, with all tasks waiting. */
 import type { JobRequest, QueueConfig, StepSpec } from '@nettlespur/batch.model'
 import type { JobRecord, StepRecord, TaskRecord } from './records.js'
 
--- a/batch/state/src/describeJob.ts
+++ b/batch/state/src/describeJob.ts
@@ -1,4 +1,4 @@
-/** What callers are told of a job. */
+/** Maps a job record to the job state that the API reports. */
 import type { JobState } from '@nettlespur/batch.model'
 import type { JobRecord } from './records.js'
 
--- a/batch/state/src/endRun.ts
+++ b/batch/state/src/endRun.ts
@@ -1,16 +1,17 @@
-/** What the end of one run changes in its job. */
+/** Applies the end of one run to its job record. */
 import type { Placement, RunEnd } from './command.js'
 import { countCrash } from './crashRecord.js'
 import { findFailure } from './findFailure.js'
 import { listStepPlacements } from './placementIndex.js'
 import type { JobRecord, StepRecord, TaskRecord } from './records.js'
 
-/** Of an end that does not say who brought its upstream down. */
+/** Blame of a `crashed` end that carries none. */
 const defaultBlame = 'suspected'
 
 /**
- * The placements that are over with it: of a gang that is done all members. None where the run is not the one that
- * is placed: its end was taken in before, or never counted.
+ * Updates the job record and returns the placements that the end removes: all members if a gang is done, else the one
+ * run. Returns none, and changes nothing, if the run is not currently placed: its end was applied before, or the task
+ * is placed under another attempt or on another upstream.
  */
 export function endRun(job: JobRecord, end: RunEnd): Placement[] {
   const step = job.steps[end.step]
@@ -45,7 +46,7 @@
   if (checkpoint !== undefined && checkpoint !== '') task.checkpoint = checkpoint
 }
 
-/** One member that is done stands for all; any other end is the end of the attempt for all. */
+/** The first member to finish completes the gang; any other outcome ends the attempt for all members. */
 function endGangMember(step: StepRecord, task: TaskRecord, end: RunEnd): void {
   const { outcome, attempt, checkpoint, upstreamId } = end
   if (outcome === 'done') {
@@ -61,7 +62,7 @@
   }
   step.endedGangAttempt = Math.max(step.endedGangAttempt, attempt)
   if (checkpoint === undefined || checkpoint === '') return
-  // Any member's checkpoint holds for the gang, and all members must resume from the same one.
+  // A checkpoint of any member is valid for the gang, and all members must resume from the same one.
   for (const member of step.tasks) member.checkpoint = checkpoint
 }
 
--- a/batch/state/src/findFailure.ts
+++ b/batch/state/src/findFailure.ts
@@ -1,8 +1,8 @@
-/** Why a job is to be given up, if it is. */
+/** Decides whether a job must be given up, and why. */
 import { isPoison } from './crashRecord.js'
 import type { JobFailure, JobRecord, StepRecord } from './records.js'
 
-/** The first reason found; undefined while the job may go on. */
+/** Returns the first reason found, or undefined if the job may continue. */
 export function findFailure({ queue, request, steps }: JobRecord): JobFailure | undefined {
   for (const [step, record] of steps.entries()) {
     const isGang = request.steps[step]?.isGang === true
--- a/batch/state/src/index.ts
+++ b/batch/state/src/index.ts
@@ -1,4 +1,4 @@
-/** The committed state of batch work, and the commands that change it. */
+/** The replicated state of batch jobs, and the commands that change it. */
 export { BatchMachine, encodeCommand } from './batchMachine.js'
 export {
   batchSnapshotSchema,
--- a/batch/state/src/isSuspectTask.ts
+++ b/batch/state/src/isSuspectTask.ts
@@ -1,4 +1,4 @@
-/** Whether a task, or any member of its gang, has to show that it does not crash the upstream that starts it. */
+/** Whether a task, or any member of its gang, is suspected of crashing upstreams, so that its next start is a trial. */
 import { isSuspect } from './crashRecord.js'
 import type { JobRecord } from './records.js'
 
--- a/batch/state/src/placementIndex.ts
+++ b/batch/state/src/placementIndex.ts
@@ -1,4 +1,4 @@
-/** Which runs each upstream holds, kept in step with the jobs so that nobody has to search them. */
+/** Index of placed runs by upstream, updated with the jobs so that looking up an upstream need not scan them. */
 import { runKey } from '@nettlespur/batch.model'
 import type { Placement } from './command.js'
 import type { JobRecord } from './records.js'
@@ -8,12 +8,12 @@
 export class PlacementIndex {
   readonly #byUpstream = new Map<string, Map<string, Placement>>()
 
-  /** Upstreams that hold at least one run. */
+  /** Upstreams with at least one placed run. */
   get upstreamIds(): IterableIterator<string> {
     return this.#byUpstream.keys()
   }
 
-  /** By run key. */
+  /** The runs placed on the upstream, by run key. */
   getByUpstream(upstreamId: string): ReadonlyMap<string, Placement> {
     return this.#byUpstream.get(upstreamId) ?? noPlacements
   }
@@ -37,12 +37,12 @@
   }
 }
 
-/** The runs of a job that are placed. */
+/** Lists the placed runs of a job. */
 export function listPlacements(job: JobRecord): Placement[] {
   return job.steps.flatMap((_, step) => listStepPlacements(job, step))
 }
 
-/** The runs of one step that are placed. */
+/** Lists the placed runs of one step. */
 export function listStepPlacements({ request: { jobId }, steps }: JobRecord, step: number) {
   const tasks = steps[step]?.tasks ?? []
   return tasks.flatMap(({ attempt, upstreamId }, index): Placement[] =>
--- a/batch/state/src/records.ts
+++ b/batch/state/src/records.ts
@@ -1,4 +1,4 @@
-/** What the state holds of each job and upstream. Plain data, so that a snapshot is its JSON. */
+/** Records of jobs and upstreams in the batch state. They are plain data, so that a snapshot is their JSON. */
 import { countSchema } from '@nettlespur/api.schemas'
 import {
   jobRequestSchema,
@@ -9,15 +9,15 @@
 import { crashRecordSchema } from './crashRecord.js'
 
 export const taskRecordSchema = z.strictObject({
-  /** `placed`: an upstream may be running it, or may still come to run it. */
+  /** `placed`: committed to an upstream, which may be running it or may yet start it. */
   phase: z.enum(['waiting', 'placed', 'done']),
-  /** The last attempt that was placed; 0 before the first. */
+  /** Number of the last placed attempt; 0 before the first. */
   attempt: countSchema,
-  /** Runs that failed, outside gangs. */
+  /** Failed runs; not counted for gang members, see `gangFailures`. */
   failures: countSchema,
-  /** Where it is placed. */
+  /** Where it is placed; absent unless the phase is `placed`. */
   upstreamId: z.string().optional(),
-  /** What the next run resumes from; empty where it begins anew. */
+  /** What the next run resumes from; empty if it starts from the beginning. */
   checkpoint: z.string(),
   /** Upstreams on which it has failed. */
   failedOn: z.array(z.string()),
@@ -28,11 +28,11 @@
 
 export const stepRecordSchema = z.strictObject({
   tasks: z.array(taskRecordSchema),
-  /** Attempts of the whole gang that failed. */
+  /** Failed attempts of the gang as a whole. */
   gangFailures: countSchema,
-  /** The newest of them, so that members that fail together count once. */
+  /** The latest failed attempt, so that several members failing in one attempt count once. */
   failedGangAttempt: countSchema,
-  /** The last attempt of the gang that is over: what still runs of it is to be stopped. */
+  /** The latest attempt that has ended; members of it, or of an earlier one, that still run must be stopped. */
   endedGangAttempt: countSchema,
 })
 export type StepRecord = z.infer<typeof stepRecordSchema>
@@ -40,16 +40,16 @@
 export const jobStatusSchema = z.enum(['active', 'completed', 'failed', 'cancelled'])
 export type JobStatus = z.infer<typeof jobStatusSchema>
 
-/** Why a job was given up. */
+/** Why a job failed. */
 export const jobFailureSchema = z.strictObject({
   reason: z.enum([
-    /** A task, or a gang, has failed as often as its queue allows. */
+    /** A task or gang has failed `attemptsMax` times. */
     'attempts-used-up',
-    /** Upstreams crash under a task, or a gang. */
+    /** A task or gang member is a poison task: upstreams keep crashing while it runs. */
     'crashes-upstreams',
   ]),
   step: countSchema,
-  /** The task; absent where a gang failed as a whole. */
+  /** Index of the task; absent if a gang failed as a whole. */
   index: countSchema.optional(),
 })
 export type JobFailure = z.infer<typeof jobFailureSchema>
@@ -57,14 +57,14 @@
 export const jobRecordSchema = z.strictObject({
   request: jobRequestSchema,
   workspace: z.string(),
-  /** As it was when the job came, or as the newest configuration that still has it says. */
+  /** The queue as of submission, or as of the newest later configuration that still has it. */
   queue: queueConfigSchema,
   status: jobStatusSchema,
-  /** With status `failed`; absent where a former version gave the job up. */
+  /** Only set with status `failed`, and absent there if an earlier version failed the job. */
   failure: jobFailureSchema.optional(),
-  /** A task has been placed at least once. */
+  /** Whether any task has ever been placed. */
   hasStarted: z.boolean(),
-  /** Counts accepted jobs, so that their order is the same everywhere. */
+  /** Sequence number of acceptance: orders jobs identically on every member. */
   number: countSchema,
   steps: z.array(stepRecordSchema),
 })
@@ -72,11 +72,11 @@
 
 export const upstreamRecordSchema = z.strictObject({
   description: upstreamDescriptionSchema,
-  /** Of the announcement that the description comes from; absent where a former version noted it. */
+  /** Sequence number of the announcement that the description comes from; absent if an earlier version recorded it. */
   sequence: z.number().optional(),
-  /** It takes no new work. */
+  /** Whether it accepts no new work. */
   isDraining: z.boolean(),
-  /** It has said that it ends: what it ran is over once it no longer answers. */
+  /** Whether it has announced its shutdown: its runs are over once it stops answering. */
   hasLeft: z.boolean(),
 })
 export type UpstreamRecord = z.infer<typeof upstreamRecordSchema>
--- a/batch/state/test/batchState.test.ts
+++ b/batch/state/test/batchState.test.ts
@@ -1,4 +1,4 @@
-/** The committed state: configurations, jobs, placements and ends. */
+/** The replicated state: configurations, jobs, placements and ends of runs. */
 import test from 'ava'
 import { createConfig, createJob, createUpstream } from '@nettlespur/batch.samples'
 import { BatchState, describeJob, type RunOutcome } from '../src/index.js'
@@ -28,7 +28,7 @@
   return state.apply({ type: 'end-runs', ends: [{ ...placement, outcome, checkpoint }] })
 }
 
-test('the highest version of the configuration stays, and other content under its number changes nothing', (t) => {
+test('a configuration is ignored unless its version is higher, even if its content differs', (t) => {
   const state = createState()
   t.is(state.apply({ type: 'apply-config', config: createConfig(5) }), 'done')
   t.is(state.apply({ type: 'apply-config', config: createConfig(3) }), 'unchanged')
@@ -36,7 +36,7 @@
   t.is(state.config?.source, 'v5')
 })
 
-test('a job handed in twice stays one job, and other content under its id is refused', (t) => {
+test('submitting a job twice keeps one job, and other content under the same id is a conflict', (t) => {
   const state = createState()
   t.is(submit(state, createJob('j', {})), 'done')
   t.is(submit(state, createJob('j', {})), 'unchanged')
@@ -44,7 +44,7 @@
   t.is(state.jobs.size, 1)
 })
 
-test('only a waiting task is placed, and only under a higher attempt', (t) => {
+test('a task that is already placed is not placed again', (t) => {
   const state = createState()
   submit(state, createJob('j', {}))
   place(state, { attempt: 1 })
@@ -53,7 +53,7 @@
   t.is(state.placements.getByUpstream('u2').size, 0)
 })
 
-test('an end counts once, and only for the run that is placed', (t) => {
+test('the end of a run is applied once, and only if that attempt is placed', (t) => {
   const state = createState()
   submit(state, createJob('j', {}))
   const first = place(state, { attempt: 1 })
@@ -63,7 +63,7 @@
   t.is(state.jobs.get('j')?.status, 'active')
 })
 
-test('a job fails once a task has failed as often as allowed, and stops and losses do not count', (t) => {
+test('a job fails once a task has failed attemptsMax times, and stopped and lost runs do not count', (t) => {
   const state = createState()
   submit(state, createJob('j', {}))
   for (const [at, outcome] of (['stopped', 'lost', 'failed', 'failed'] as const).entries()) {
@@ -83,7 +83,7 @@
   t.is(state.jobs.get('j')?.status, 'active')
 })
 
-test('one member that is done stands for its whole gang', (t) => {
+test('a gang is done as soon as one member is done', (t) => {
   const state = createState()
   submit(state, createJob('j', { taskCount: 2, isGang: true }))
   const [first] = [0, 1].map((index) => place(state, { index, attempt: 1 }))
@@ -92,7 +92,7 @@
   t.is(state.placements.getByUpstream('u1').size, 0)
 })
 
-test('a checkpoint outlives the run, and all members of a gang resume from the same one', (t) => {
+test('a checkpoint is kept after its run ends, and all members of a gang resume from the same one', (t) => {
   const state = createState()
   submit(state, createJob('j', { taskCount: 2, isGang: true, checkpoints: true }))
   const [first, second] = [0, 1].map((index) => place(state, { index, attempt: 1 }))
@@ -105,7 +105,7 @@
   )
 })
 
-test('a cancelled job stays unsettled until what it placed has ended', (t) => {
+test('a cancelled job stays unsettled until its placed runs have ended', (t) => {
   const state = createState()
   submit(state, createJob('j', {}))
   const placement = place(state, { attempt: 1 })
@@ -116,7 +116,7 @@
   t.false(state.unsettled.has('j'))
 })
 
-test('a late announcement does not undo what a later one has said, and one without a number is taken', (t) => {
+test('an out-of-order announcement does not replace a newer one, and one without a sequence number is accepted', (t) => {
   const state = createState()
   const describe = (accelerators: number) => {
     const description = createUpstream('u1')
@@ -133,7 +133,7 @@
   t.is(restored.upstreams.get('u1')?.description.capacity.accelerators, 2)
 })
 
-test('a state restored from its snapshot is the same, with its placements', (t) => {
+test('a state restored from its snapshot equals the original, including its placements', (t) => {
   const state = createState()
   submit(state, createJob('j', { taskCount: 2 }, { dependsOn: [0] }))
   place(state, { attempt: 1 })
--- a/batch/state/test/crashes.test.ts
+++ b/batch/state/test/crashes.test.ts
@@ -1,4 +1,4 @@
-/** Crashes of upstreams under tasks and gangs: when a job is given up for them, and when not. */
+/** When a job is given up because upstreams crash while its tasks or gangs run, and when it is not. */
 import { createConfig, createJob, createUpstream } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { BatchMachine, BatchState, encodeCommand, type CrashBlame } from '../src/index.js'
@@ -17,7 +17,7 @@
   return placement
 }
 
-/** Places each of the first tasks and has its upstream crash. */
+/** Places one task for each entry of `blames`, then ends each run as crashed with that blame. */
 function crash(state: BatchState, attempt: number, blames: readonly CrashBlame[]): void {
   const placements = blames.map((_, index) => place(state, index, attempt))
   placements.forEach((placement, index) => {
@@ -26,7 +26,7 @@
   })
 }
 
-test('a task that had just started as three upstreams crashed is given up, and its job says why', (t) => {
+test('a task blamed for three upstream crashes is given up, and its job records the reason', (t) => {
   const state = createState()
   for (const attempt of [1, 2]) crash(state, attempt, ['blamed'])
   t.is(state.jobs.get('j')?.status, 'active')
@@ -37,7 +37,7 @@
   t.false(state.unsettled.has('j'))
 })
 
-test('a task that goes down with its neighbours again and again is not given up before the bound on all crashes', (t) => {
+test('a task that is never blamed for the crashes is given up only at the limit on all crashes', (t) => {
   const state = createState()
   for (let attempt = 1; attempt <= 4; attempt++) crash(state, attempt, ['none'])
   t.is(state.jobs.get('j')?.status, 'active')
@@ -45,7 +45,7 @@
   t.is(state.jobs.get('j')?.failure?.reason, 'crashes-upstreams')
 })
 
-test('crashes and failures draw on budgets of their own', (t) => {
+test('crashes and failures are counted against separate limits', (t) => {
   const state = createState()
   crash(state, 1, ['blamed'])
   state.apply({ type: 'end-runs', ends: [{ ...place(state, 0, 2), outcome: 'failed' }] })
@@ -54,7 +54,7 @@
   t.is(state.jobs.get('j')?.failure?.reason, 'attempts-used-up')
 })
 
-test('a suspect is started twice more after its third crash, however those starts end', (t) => {
+test('a suspect task is started only twice more after its third crash, whatever the outcome of those runs', (t) => {
   const state = createState()
   for (const attempt of [1, 2, 3]) crash(state, attempt, ['suspected'])
   for (const attempt of [4, 5]) {
@@ -64,7 +64,7 @@
   t.is(state.jobs.get('j')?.failure?.reason, 'crashes-upstreams')
 })
 
-test('a gang is not given up for crashes under one member and then under others', (t) => {
+test('a gang is not given up if each crash occurred under a different member', (t) => {
   const state = createState({ taskCount: 4, isGang: true })
   for (let member = 0; member < 4; member++) {
     const placements = [0, 1, 2, 3].map((index) => place(state, index, member + 1))
@@ -77,13 +77,13 @@
   t.is(state.jobs.get('j')?.status, 'active')
 })
 
-test('a gang is given up once three upstreams crashed as one member had just started', (t) => {
+test('a gang is given up after three crashes for which the same member is blamed', (t) => {
   const state = createState({ taskCount: 2, isGang: true })
   for (const attempt of [1, 2, 3]) crash(state, attempt, ['none', 'blamed'])
   t.deepEqual(state.jobs.get('j')?.failure, { reason: 'crashes-upstreams', step: 0, index: 1 })
 })
 
-test('the count outlives a restart from a snapshot', (t) => {
+test('crash counts survive a restore from a snapshot', (t) => {
   const state = createState()
   for (const attempt of [1, 2]) crash(state, attempt, ['blamed'])
   const restored = BatchState.restore(structuredClone(state.snapshot()))
@@ -91,7 +91,7 @@
   t.is(restored.jobs.get('j')?.status, 'failed')
 })
 
-test('snapshots and commands of the version that did not count crashes are read, and counted on from', (t) => {
+test('snapshots and commands written before crashes were counted are read, and later crashes are counted', (t) => {
   const formerTask = { phase: 'waiting', attempt: 9, failures: 0, checkpoint: '', failedOn: [] }
   const formerStep = {
     tasks: [formerTask],
--- a/batch/state/test/foreignRecords.test.ts
+++ b/batch/state/test/foreignRecords.test.ts
@@ -1,4 +1,4 @@
-/** Commands and snapshots that are torn, foreign or of a newer version: refused by name, never half taken. */
+/** Truncated, foreign or newer commands and snapshots are rejected as a whole, with an error that names the record. */
 import { createConfig, createJob, createUpstream } from '@nettlespur/batch.samples'
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
@@ -27,7 +27,7 @@
   return machine
 }
 
-/** Every way to add one field that this version does not know, at each object within. */
+/** Lists the copies of `value` that have one unknown field added, one copy for each nested object. */
 function listWithUnknownField(value: unknown): unknown[] {
   if (Array.isArray(value)) {
     const items: unknown[] = value
@@ -42,7 +42,7 @@
   return [{ ...value, fieldOfNewerVersion: 1 }, ...inner]
 }
 
-/** Nothing of the state may change, and the error names the record. */
+/** Asserts that `take` throws an error naming the record, and that the state is unchanged. */
 function assertRefused(machine: BatchMachine, what: RegExp, take: () => void): void {
   const before = machine.takeSnapshot().toString()
   assert.throws(take, (thrown) => {
@@ -54,7 +54,7 @@
   assert.equal(machine.takeSnapshot().toString(), before)
 }
 
-test('a command with a field of a newer version is refused by its index, and changes nothing', (t) => {
+test('a command with an unknown field is rejected with its index in the error, and changes nothing', (t) => {
   for (const command of commands) {
     for (const newer of listWithUnknownField(command)) {
       const machine = createMachine()
@@ -65,7 +65,7 @@
   t.pass()
 })
 
-test('a snapshot with a field of a newer version is refused by its index, and changes nothing', (t) => {
+test('a snapshot with an unknown field is rejected with its index in the error, and changes nothing', (t) => {
   const snapshot = JSON.parse(createMachine().takeSnapshot().toString()) as unknown
   for (const newer of listWithUnknownField(snapshot)) {
     const machine = createMachine()
@@ -76,7 +76,7 @@
   t.pass()
 })
 
-test('torn and foreign bytes are refused by name, as commands and as snapshots', (t) => {
+test('truncated and foreign bytes are rejected as commands and as snapshots, with the record named in the error', (t) => {
   const torn = commands.map((command) => encodeCommand(command).subarray(0, -1))
   const bytes = fc.oneof(
     fc.constantFrom(...torn),
@@ -96,7 +96,7 @@
   t.pass()
 })
 
-test('what this version writes is read back by it', (t) => {
+test('commands and snapshots that this version writes can be read back', (t) => {
   const machine = createMachine()
   commands.slice(4).forEach((command, at) => machine.apply(at + 5, encodeCommand(command)))
   const snapshot = machine.takeSnapshot()
--- a/batch/state/test/placementIndex.test.ts
+++ b/batch/state/test/placementIndex.test.ts
@@ -1,4 +1,4 @@
-/** The index of placements is kept by what each command touches, and must equal one made anew from the jobs. */
+/** The incrementally updated index of placements must equal an index rebuilt from the jobs. */
 import { createConfig, createJob, createUpstream } from '@nettlespur/batch.samples'
 import test from 'ava'
 import fc from 'fast-check'
@@ -61,7 +61,7 @@
   })
 }
 
-test('the index holds just the placed runs, whatever is placed, ended and cancelled', (t) => {
+test('after any sequence of placements, ends and cancellations the index equals one rebuilt from a snapshot', (t) => {
   fc.assert(
     fc.property(fc.array(commandArbitrary, { maxLength: 30 }), (commands) => {
       const state = createState()
