--- a/batch/service/src/batchLeader.ts
+++ b/batch/service/src/batchLeader.ts
@@ -205,7 +205,7 @@
 
   /** Has the sessions stop those of the runs that are to be stopped. */
   #review(runs: readonly Placement[]): void {
-    for (const run of runs) this.#roster.find(run.upstreamId)?.review(run)
+    for (const run of runs) this.#roster.find(run.upstreamId)?.stopIfNeeded(run)
   }
 
   #isUsable(upstreamId: string): boolean {
--- a/batch/service/src/upstreamRoster.ts
+++ b/batch/service/src/upstreamRoster.ts
@@ -58,8 +58,8 @@
       return !isDraining && !hasLeft && !holders.has(description.upstreamId)
     })
     for (const upstreamId of holders) this.#open(upstreamId, this.#takeoverMs)?.resume()
-    for (const { description } of idle) this.open(description.upstreamId)?.greet()
-    const answered = [...this.sessions].map(({ answers }) => answers.first)
+    for (const { description } of idle) this.open(description.upstreamId)?.pollOnce()
+    const answered = [...this.sessions].map(({ answers }) => answers.firstCallSettled)
     const { clock, signal } = this.#opts
     await Promise.race([Promise.all(answered), clock.sleep(takeoverWaitMs, signal)])
   }
@@ -96,7 +96,7 @@
 
   /** To be called once the state knows the upstream. */
   noteClock({ upstreamId, clockMs }: Announcement): void {
-    this.open(upstreamId)?.lease.clock.note(clockMs, this.#opts.clock.monotonicMs())
+    this.open(upstreamId)?.lease.clock.noteReading(clockMs, this.#opts.clock.monotonicMs())
   }
 
   /** Upstreams that have said until when they stay. */
@@ -134,7 +134,7 @@
     if (isDraining || hasLeft || this.#table.isReplaced(upstreamId)) return false
     const nowMs = this.#opts.clock.monotonicMs()
     const session = this.#sessions.get(upstreamId)
-    if (session?.lease.clock.isKnown !== true) return false
+    if (session?.lease.clock.hasReading !== true) return false
     const { answers } = session
     // Its first answer counts as an announcement. Later ones do not: one that no longer announces itself may be leaving.
     const heardAtMs = Math.max(this.#table.heardAtMs(upstreamId), answers.firstAnswerAtMs)
--- a/batch/sessions/src/blameCrash.ts
+++ b/batch/sessions/src/blameCrash.ts
@@ -22,12 +22,12 @@
   isCertain: boolean,
 ): ReadonlyMap<string, CrashBlame> {
   const started = runs.filter(({ hasStarted }) => hasStarted !== 'no')
-  const hasFresh = started.some(({ isProven }) => !isProven)
-  const judge = ({ isProven, hasStarted }: CrashedRun): CrashBlame => {
+  const hasUnprovenRun = started.some(({ isProven }) => !isProven)
+  const assignBlame = ({ isProven, hasStarted }: CrashedRun): CrashBlame => {
     if (hasStarted === 'no') return 'none'
     // Where all have been at work for a while, any of them may have done it.
-    if (isProven) return hasFresh ? 'none' : 'suspected'
+    if (isProven) return hasUnprovenRun ? 'none' : 'suspected'
     return isCertain && hasStarted === 'yes' ? 'blamed' : 'suspected'
   }
-  return new Map(runs.map((run) => [runKey(run.placement), judge(run)]))
+  return new Map(runs.map((run) => [runKey(run.placement), assignBlame(run)]))
 }
--- a/batch/sessions/src/callAnswers.ts
+++ b/batch/sessions/src/callAnswers.ts
@@ -9,26 +9,26 @@
   /** When it first answered, on our clock. */
   firstAnswerAtMs = -Infinity
   /** Resolves once the first call was answered or given up. */
-  readonly first: Promise<void>
-  readonly #noteFirst: () => void
+  readonly firstCallSettled: Promise<void>
+  readonly #settleFirstCall: () => void
 
   constructor() {
-    let noteFirst = (): void => undefined
-    this.first = new Promise((resolve) => {
-      noteFirst = resolve
+    let resolveFirstCall = (): void => undefined
+    this.firstCallSettled = new Promise((resolve) => {
+      resolveFirstCall = resolve
     })
-    this.#noteFirst = noteFirst
+    this.#settleFirstCall = resolveFirstCall
   }
 
   noteAnswered(nowMs: number): void {
     this.unanswered = 0
     if (this.firstAnswerAtMs === -Infinity) this.firstAnswerAtMs = nowMs
-    this.#noteFirst()
+    this.#settleFirstCall()
   }
 
   noteUnanswered(nowMs: number): void {
     this.unanswered += 1
     this.unansweredAtMs = nowMs
-    this.#noteFirst()
+    this.#settleFirstCall()
   }
 }
--- a/batch/sessions/src/clockEstimate.ts
+++ b/batch/sessions/src/clockEstimate.ts
@@ -10,24 +10,24 @@
   #clockMs = 0
   #readAtMs: number | undefined
 
-  get isKnown(): boolean {
+  get hasReading(): boolean {
     return this.#readAtMs !== undefined
   }
 
   /** `receivedAtMs` is our own clock's time. */
-  note(clockMs: number, receivedAtMs: number): void {
-    if (this.#readAtMs !== undefined && clockMs <= this.atLeastMs(receivedAtMs)) return
+  noteReading(clockMs: number, receivedAtMs: number): void {
+    if (this.#readAtMs !== undefined && clockMs <= this.lowerBoundMs(receivedAtMs)) return
     this.#clockMs = clockMs
     this.#readAtMs = receivedAtMs
   }
 
   /** The upstream's clock shows this or more; 0 where nothing is known. */
-  atLeastMs(nowMs: number): number {
+  lowerBoundMs(nowMs: number): number {
     return this.#readAtMs === undefined ? 0 : this.#clockMs + (nowMs - this.#readAtMs) * slowestRate
   }
 
   /** How long, by our clock, until a span of the upstream's has surely passed. */
-  static longestMs(upstreamMs: number): number {
+  static toMaxLocalMs(upstreamMs: number): number {
     return upstreamMs / slowestRate
   }
 }
--- a/batch/sessions/src/endCursor.ts
+++ b/batch/sessions/src/endCursor.ts
@@ -3,7 +3,7 @@
 
 export class EndCursor {
   #committed = 0
-  #shown = 0
+  #reported = 0
 
   /** All ends up to this number are committed, or are of nothing that is placed there. */
   get committed(): number {
@@ -11,16 +11,16 @@
   }
 
   /** Ends were shown that have not been acknowledged. */
-  get isBehind(): boolean {
-    return this.#committed < this.#shown
+  get hasUnacknowledged(): boolean {
+    return this.#committed < this.#reported
   }
 
-  noteShown(finished: readonly FinishedRun[]): void {
-    this.#shown = Math.max(this.#shown, ...finished.map(({ number }) => number))
+  noteReported(finished: readonly FinishedRun[]): void {
+    this.#reported = Math.max(this.#reported, ...finished.map(({ number }) => number))
   }
 
   /** The ends shown are committed. */
   advance(): void {
-    this.#committed = this.#shown
+    this.#committed = this.#reported
   }
 }
--- a/batch/sessions/src/readLook.ts
+++ b/batch/sessions/src/interpretPoll.ts
@@ -13,7 +13,7 @@
   alone: 'broken',
 }
 
-export interface Look {
+export interface PollResult {
   readonly running: readonly RunningRun[]
   readonly finished: readonly FinishedRun[]
   /** Rows of the two lists that could not be read. */
@@ -22,7 +22,7 @@
   readonly sentAtMs: number
 }
 
-export interface LookReading {
+export interface PollReading {
   /** Ends of placed runs, those included that will never run. */
   readonly ends: readonly RunEnd[]
   /** Runs that would have ended, were it not for rows that could not be read: one of these may be theirs. */
@@ -31,32 +31,35 @@
   readonly mayAcknowledge: boolean
 }
 
-export function readLook(
-  look: Look,
+export function interpretPoll(
+  poll: PollResult,
   placements: ReadonlyMap<string, Placement>,
   tracks: ReadonlyMap<string, RunTrack>,
-): LookReading {
-  const isWhole = look.unreadRows === 0
-  const seen = new Set([...look.running, ...look.finished].map(({ run }) => runKey(run)))
+): PollReading {
+  const isComplete = poll.unreadRows === 0
+  const seen = new Set([...poll.running, ...poll.finished].map(({ run }) => runKey(run)))
   const absent = [...placements.keys()].filter((key) => !seen.has(key))
   const settled = absent.flatMap((key) => {
     const track = tracks.get(key)
-    return track !== undefined && isSettledBefore(track, look.sentAtMs) ? [track] : []
+    return track !== undefined && isSettledBefore(track, poll.sentAtMs) ? [track] : []
   })
-  const ends = listShownEnds(look, placements)
-  const mayAcknowledge = isWhole || absent.length === 0
-  if (!isWhole) return { ends, unlisted: settled, mayAcknowledge }
-  return { ends: [...ends, ...settled.map(toLost)], unlisted: [], mayAcknowledge }
+  const ends = listReportedEnds(poll, placements)
+  const mayAcknowledge = isComplete || absent.length === 0
+  if (!isComplete) return { ends, unlisted: settled, mayAcknowledge }
+  return { ends: [...ends, ...settled.map(toLostEnd)], unlisted: [], mayAcknowledge }
 }
 
-function listShownEnds({ finished }: Look, placements: ReadonlyMap<string, Placement>): RunEnd[] {
+function listReportedEnds(
+  { finished }: PollResult,
+  placements: ReadonlyMap<string, Placement>,
+): RunEnd[] {
   return finished.flatMap(({ run, outcome, checkpoint }) => {
     const placement = placements.get(runKey(run))
     return placement === undefined ? [] : [{ ...placement, outcome: outcomes[outcome], checkpoint }]
   })
 }
 
-function toLost({ placement, checkpoint }: RunTrack): RunEnd {
+function toLostEnd({ placement, checkpoint }: RunTrack): RunEnd {
   return { ...placement, outcome: 'lost', checkpoint }
 }
 
--- a/batch/sessions/src/leaseTracker.ts
+++ b/batch/sessions/src/leaseTracker.ts
@@ -26,18 +26,18 @@
     this.#predecessorEndMs =
       takeoverMs === undefined
         ? -Infinity
-        : takeoverMs + ClockEstimate.longestMs(leaseMs + predecessorMarginMs)
+        : takeoverMs + ClockEstimate.toMaxLocalMs(leaseMs + predecessorMarginMs)
   }
 
   /** The end, on the upstream's clock, of a lease given now; noted as given. */
   extend(nowMs: number): number {
-    const endMs = Math.floor(this.clock.atLeastMs(nowMs) + this.#leaseMs)
+    const endMs = Math.floor(this.clock.lowerBoundMs(nowMs) + this.#leaseMs)
     this.#latestEndMs = Math.max(this.#latestEndMs, endMs)
     return endMs
   }
 
   /** Nothing that any leader ordered there can run any more. */
-  isOver(nowMs: number): boolean {
-    return nowMs >= this.#predecessorEndMs && this.clock.atLeastMs(nowMs) >= this.#latestEndMs
+  hasExpired(nowMs: number): boolean {
+    return nowMs >= this.#predecessorEndMs && this.clock.lowerBoundMs(nowMs) >= this.#latestEndMs
   }
 }
--- a/batch/sessions/src/lostRuns.ts
+++ b/batch/sessions/src/lostRuns.ts
@@ -16,7 +16,7 @@
 }
 
 /** What an earlier leader placed has most likely started: it gives an order as soon as that is committed. */
-const startedIn: Readonly<Record<RunPhase, CrashedRun['hasStarted']>> = {
+const hasStartedByPhase: Readonly<Record<RunPhase, CrashedRun['hasStarted']>> = {
   starting: 'no',
   refused: 'no',
   'in-doubt': 'unknown',
@@ -34,14 +34,14 @@
 export class LostRuns {
   readonly #opts: LostRunsOptions
   /** Runs that have their line, by key: where a commit fails their ends are listed again. */
-  readonly #told = new Set<string>()
+  readonly #loggedKeys = new Set<string>()
 
   constructor(opts: LostRunsOptions) {
     this.#opts = opts
   }
 
   /** The run never was, and will never be, at work. */
-  listUnstarted(placement: Placement): RunEnd[] {
+  listUnstartedEnds(placement: Placement): RunEnd[] {
     this.#log(placement, 'not-started')
     return [{ ...placement, outcome: 'lost' }]
   }
@@ -71,12 +71,12 @@
 
   #describe(placement: Placement): CrashedRun & Pick<RunTrack, 'phase'> {
     const { phase = 'starting', isProven = false } = this.#opts.tracks.find(placement) ?? {}
-    return { placement, phase, isProven, hasStarted: startedIn[phase] }
+    return { placement, phase, isProven, hasStarted: hasStartedByPhase[phase] }
   }
 
   #log(placement: Placement, cause: LossCause, blame?: CrashBlame): void {
-    if (this.#told.has(runKey(placement))) return
-    this.#told.add(runKey(placement))
+    if (this.#loggedKeys.has(runKey(placement))) return
+    this.#loggedKeys.add(runKey(placement))
     const { clock, logger, target, tracks } = this.#opts
     const track = tracks.find(placement)
     const sinceStartMs = track && Math.round(clock.monotonicMs() - track.startedAtMs)
--- a/batch/sessions/src/runTracks.ts
+++ b/batch/sessions/src/runTracks.ts
@@ -97,13 +97,13 @@
   /** Takes in what a look with unread rows does not show. Gives the runs that were listed until now. */
   noteUnlisted(unlisted: readonly RunTrack[], nowMs: number): RunRef[] {
     if (unlisted.length > 0) this.unlistedAtMs = nowMs
-    const fresh = unlisted.filter(({ unlistedSinceMs }) => unlistedSinceMs === undefined)
-    for (const track of fresh) track.unlistedSinceMs = nowMs
-    return fresh.map(({ placement }) => placement)
+    const newlyUnlisted = unlisted.filter(({ unlistedSinceMs }) => unlistedSinceMs === undefined)
+    for (const track of newlyUnlisted) track.unlistedSinceMs = nowMs
+    return newlyUnlisted.map(({ placement }) => placement)
   }
 
   /** Looks go on to hide a run that may be there. */
-  hasHidden(nowMs: number): boolean {
+  hasLongUnlisted(nowMs: number): boolean {
     return [...this.#byKey.values()].some(
       ({ unlistedSinceMs = Infinity }) => nowMs - unlistedSinceMs >= unlistedMsMax,
     )
--- a/batch/sessions/src/sessionOptions.ts
+++ b/batch/sessions/src/sessionOptions.ts
@@ -29,11 +29,11 @@
  */
 export const orderTimeoutMs = 500
 /** Allowed to a look beyond the time it waits there; see `orderTimeoutMs`. */
-export const holdSlackMs = 700
+export const holdTimeoutMarginMs = 700
 /** Two tries stay well within the 3,000 ms in which all members of a gang have to be there. */
 export const startTriesMax = 2
 /** How long an upstream may keep a look waiting while a start is on trial there: others wait for it to be over. */
-export const trialLookMs = 500
+export const trialPollWaitMs = 500
 /** Between calls to an upstream that does not answer. */
 export const retryPauseMs = 250
 /** After a look with unread rows: an upstream that answers at once each time is not to be asked without end. */
--- a/batch/sessions/src/upstreamEnding.ts
+++ b/batch/sessions/src/upstreamEnding.ts
@@ -40,7 +40,7 @@
   /** Ends what runs there once nothing can run any more; the upstream may still answer later. */
   giveUpAfterLease(lease: LeaseTracker, cause: LossCause): void {
     const { clock, signal, host, logger, target, commitLost } = this.#opts
-    if (this.isOver || signal.aborted || !lease.isOver(clock.monotonicMs())) return
+    if (this.isOver || signal.aborted || !lease.hasExpired(clock.monotonicMs())) return
     const { upstreamId } = target
     const runs = host.listPlacements(upstreamId).size
     logger.info({ event: 'upstream.lease-over', upstreamId, cause, runs })
--- a/batch/sessions/src/upstreamPort.ts
+++ b/batch/sessions/src/upstreamPort.ts
@@ -47,11 +47,11 @@
   | 'invalid'
 
 /** The upstream's steady clock as it answered, where it said so. */
-interface Clocked {
+interface ClockReading {
   readonly clockMs: number | undefined
 }
 
-export type StartAnswer = Clocked &
+export type StartAnswer = ClockReading &
   (
     | { readonly type: 'started' }
     | { readonly type: 'refused'; readonly reason: StartRefusal }
@@ -59,7 +59,7 @@
     | { readonly type: 'gone' }
   )
 
-export type StopAnswer = Clocked & { readonly type: 'stopping' | 'fence' | 'gone' }
+export type StopAnswer = ClockReading & { readonly type: 'stopping' | 'fence' | 'gone' }
 
 export interface RunningRun {
   readonly run: RunRef
@@ -78,7 +78,7 @@
   readonly checkpoint: string
 }
 
-export type HoldAnswer = Clocked &
+export type HoldAnswer = ClockReading &
   (
     | {
         readonly type: 'held'
--- a/batch/sessions/src/upstreamSession.ts
+++ b/batch/sessions/src/upstreamSession.ts
@@ -7,17 +7,17 @@
 import type { Placement, RunEnd } from '@nettlespur/batch.state'
 import { toNettlespurError } from '@nettlespur/core.errors'
 import { CallAnswers } from './callAnswers.js'
-import { createLook } from './createLook.js'
+import { planPoll } from './planPoll.js'
 import { EndCursor } from './endCursor.js'
 import { LeaseTracker } from './leaseTracker.js'
 import type { LossCause } from './lossCause.js'
 import { LostRuns } from './lostRuns.js'
-import { readLook } from './readLook.js'
+import { interpretPoll } from './interpretPoll.js'
 import type { RunTrack } from './runTrack.js'
 import { RunTracks, type ReadonlyRunTracks } from './runTracks.js'
 import { RunOrders, type StartResult } from './runOrders.js'
 import {
-  holdSlackMs,
+  holdTimeoutMarginMs,
   retryPauseMs,
   unreadPauseMs,
   type UpstreamSessionOptions,
@@ -31,19 +31,19 @@
   readonly #opts: UpstreamSessionOptions
   readonly #orders: RunOrders
   readonly #tracks: RunTracks
-  readonly #lost: LostRuns
+  readonly #lostRuns: LostRuns
   readonly #cursor = new EndCursor()
   readonly #ending: UpstreamEnding
-  #isLooking = false
-  #isGreeting = false
+  #isPolling = false
+  #isPollRequested = false
 
   constructor(opts: UpstreamSessionOptions) {
     this.#opts = opts
     this.#tracks = new RunTracks(opts)
     this.lease = new LeaseTracker({ leaseMs: opts.timings.leaseMs, takeoverMs: opts.takeoverMs })
     this.#orders = new RunOrders({ ...opts, lease: this.lease })
-    this.#lost = new LostRuns({ ...opts, tracks: this.#tracks })
-    const commitLost = (cause: LossCause) => this.#commitLost(cause)
+    this.#lostRuns = new LostRuns({ ...opts, tracks: this.#tracks })
+    const commitLost = (cause: LossCause) => this.#commitLostEnds(cause)
     this.#ending = new UpstreamEnding({ ...opts, commitLost })
   }
 
@@ -55,31 +55,31 @@
   /** Takes up what earlier leaders placed there. */
   resume(): void {
     for (const placement of this.#placements().values()) this.#tracks.follow(placement, 'inherited')
-    this.#wake()
+    this.#startPolling()
   }
 
   /** Looks once though nothing is placed there: whether it answers, and what its clock says. */
-  greet(): void {
-    this.#isGreeting = true
-    this.#wake()
+  pollOnce(): void {
+    this.#isPollRequested = true
+    this.#startPolling()
   }
 
   /** Starts a run whose placement is committed. */
   start(placement: Placement): void {
     const track = this.#tracks.follow(placement, 'starting')
-    this.#wake()
-    void this.#orders.start(placement).then((result) => this.#noteStart(track, result))
+    this.#startPolling()
+    void this.#orders.start(placement).then((result) => this.#handleStartResult(track, result))
   }
 
   /** Stops the run if it is to be stopped. To be called when that may have changed. */
-  review(placement: Placement): void {
+  stopIfNeeded(placement: Placement): void {
     const track = this.#tracks.find(placement)
     const isDue = track?.isStopping === false && this.#opts.host.shouldStop(placement)
     if (isDue) void this.#stopUntilAnswered(track)
   }
 
-  #reviewAll(): void {
-    for (const placement of this.#placements().values()) this.review(placement)
+  #stopAllIfNeeded(): void {
+    for (const placement of this.#placements().values()) this.stopIfNeeded(placement)
   }
 
   #placements(): ReadonlyMap<string, Placement> {
@@ -90,12 +90,12 @@
     return this.#opts.clock.monotonicMs()
   }
 
-  #wake(): void {
-    if (this.#isLooking) return
-    this.#isLooking = true
-    void this.#lookWhileWanted().finally(() => {
-      this.#isLooking = false
-      if (this.#isWanted()) this.#wake()
+  #startPolling(): void {
+    if (this.#isPolling) return
+    this.#isPolling = true
+    void this.#pollWhileNeeded().finally(() => {
+      this.#isPolling = false
+      if (this.#shouldPoll()) this.#startPolling()
     })
   }
 
@@ -103,16 +103,16 @@
     return this.#ending.isOver || this.#opts.signal.aborted
   }
 
-  #isWanted(): boolean {
+  #shouldPoll(): boolean {
     if (this.#isOver()) return false
-    return this.#isGreeting || this.#placements().size > 0 || this.#cursor.isBehind
+    return this.#isPollRequested || this.#placements().size > 0 || this.#cursor.hasUnacknowledged
   }
 
-  async #lookWhileWanted(): Promise<void> {
-    while (this.#isWanted()) {
-      const isAnswered = await this.#look()
+  async #pollWhileNeeded(): Promise<void> {
+    while (this.#shouldPoll()) {
+      const isAnswered = await this.#poll()
       if (!isAnswered) this.#ending.giveUpAfterLease(this.lease, 'lease-over')
-      else if (this.#tracks.hasHidden(this.#nowMs()))
+      else if (this.#tracks.hasLongUnlisted(this.#nowMs()))
         this.#ending.giveUpAfterLease(this.lease, 'unlisted')
       if (isAnswered) continue
       await this.#opts.clock.sleep(retryPauseMs, this.#opts.signal)
@@ -123,11 +123,11 @@
   }
 
   /** False where no answer came. */
-  async #look(): Promise<boolean> {
+  async #poll(): Promise<boolean> {
     const { port, target, host, timings, clock } = this.#opts
     const sentAtMs = this.#nowMs()
     this.#tracks.keepOnly(this.#placements())
-    const look = createLook({
+    const pollTerms = planPoll({
       lease: this.lease,
       answers: this.answers,
       tracks: this.#tracks,
@@ -135,12 +135,12 @@
       holdWaitMs: timings.holdWaitMs,
       nowMs: sentAtMs,
     })
-    const order = { ...look, fence: host.fence, cursor: this.#cursor.committed }
+    const order = { ...pollTerms, fence: host.fence, cursor: this.#cursor.committed }
     try {
-      const answer = await port.hold(target, order, order.waitMs + holdSlackMs)
+      const answer = await port.hold(target, order, order.waitMs + holdTimeoutMarginMs)
       this.answers.noteAnswered(this.#nowMs())
       this.#noteClock(answer.clockMs)
-      await this.#take(answer, sentAtMs)
+      await this.#processAnswer(answer, sentAtMs)
       return true
     } catch (thrown) {
       this.answers.noteUnanswered(this.#nowMs())
@@ -149,17 +149,17 @@
       this.#log('upstream.silent', { unanswered, reason })
       return false
     } finally {
-      this.#isGreeting = false
+      this.#isPollRequested = false
       // Lets other work of this process go first where an upstream answers at once each time.
       await clock.sleep(0)
     }
   }
 
   #noteClock(clockMs: number | undefined): void {
-    if (clockMs !== undefined) this.lease.clock.note(clockMs, this.#nowMs())
+    if (clockMs !== undefined) this.lease.clock.noteReading(clockMs, this.#nowMs())
   }
 
-  async #take(answer: HoldAnswer, sentAtMs: number): Promise<void> {
+  async #processAnswer(answer: HoldAnswer, sentAtMs: number): Promise<void> {
     if (this.#isOver()) return
     if (answer.type === 'gone') return this.#ending.end('crashed')
     if (answer.type === 'fence') {
@@ -167,32 +167,32 @@
       return this.#opts.clock.sleep(retryPauseMs, this.#opts.signal)
     }
     const placed = this.#placements()
-    const reading = readLook({ ...answer, sentAtMs }, placed, this.#tracks.byKey)
+    const reading = interpretPoll({ ...answer, sentAtMs }, placed, this.#tracks.byKey)
     for (const run of this.#tracks.noteRunning(answer.running, placed)) {
       this.#log('run.stray', { jobId: run.jobId, attempt: run.attempt })
-      void this.#giveStop(run)
+      void this.#sendStop(run)
     }
     for (const run of this.#tracks.noteUnlisted(reading.unlisted, this.#nowMs())) {
       this.#log('run.unlisted', runFields(run))
     }
-    this.#cursor.noteShown(answer.finished)
-    if (!(await this.#commit(reading.ends))) {
+    this.#cursor.noteReported(answer.finished)
+    if (!(await this.#commitEnds(reading.ends))) {
       await this.#opts.clock.sleep(retryPauseMs, this.#opts.signal)
     } else if (reading.mayAcknowledge) {
       this.#cursor.advance()
     }
-    this.#reviewAll()
+    this.#stopAllIfNeeded()
     if (answer.unreadRows > 0) await this.#opts.clock.sleep(unreadPauseMs, this.#opts.signal)
   }
 
-  async #commit(ends: readonly RunEnd[]): Promise<boolean> {
+  async #commitEnds(ends: readonly RunEnd[]): Promise<boolean> {
     if (ends.length === 0) return true
     if (!(await this.#opts.host.commitEnds(ends))) return false
     for (const end of ends) this.#tracks.remove(end)
     return true
   }
 
-  async #noteStart(track: RunTrack, result: StartResult): Promise<void> {
+  async #handleStartResult(track: RunTrack, result: StartResult): Promise<void> {
     const { placement } = track
     const reason = result.type === 'refused' ? result.reason : undefined
     if ('clockMs' in result) this.#noteClock(result.clockMs)
@@ -206,7 +206,7 @@
     }
     if (result.type === 'started' || reason === 'superseded') {
       track.phase = 'settled'
-      this.review(placement)
+      this.stopIfNeeded(placement)
       return
     }
     if (result.type === 'in-doubt') {
@@ -214,7 +214,8 @@
       this.#opts.host.abandonGang(placement)
       return this.#stopUntilAnswered(track)
     }
-    if (!(await this.#commit(this.#lost.listUnstarted(placement)))) track.phase = 'settled'
+    if (!(await this.#commitEnds(this.#lostRuns.listUnstartedEnds(placement))))
+      track.phase = 'settled'
   }
 
   /** Once a stop is answered, a start of this attempt that comes later is refused. */
@@ -222,7 +223,7 @@
     if (track.isStopping) return
     track.isStopping = true
     while (!this.#isOver() && this.#placements().has(runKey(track.placement))) {
-      if (track.phase !== 'starting' && (await this.#giveStop(track.placement))) {
+      if (track.phase !== 'starting' && (await this.#sendStop(track.placement))) {
         track.settledAtMs = this.#nowMs()
         track.phase = 'settled'
         return
@@ -232,7 +233,7 @@
   }
 
   /** Whether the stop was answered. */
-  async #giveStop(run: RunRef): Promise<boolean> {
+  async #sendStop(run: RunRef): Promise<boolean> {
     const answer = await this.#orders.stop(run)
     if (answer === undefined) return false
     this.#noteClock(answer.clockMs)
@@ -241,8 +242,8 @@
   }
 
   /** Ends all that is placed there. */
-  #commitLost(cause: LossCause): Promise<boolean> {
-    return this.#commit(this.#lost.listEnds([...this.#placements().values()], cause))
+  #commitLostEnds(cause: LossCause): Promise<boolean> {
+    return this.#commitEnds(this.#lostRuns.listEnds([...this.#placements().values()], cause))
   }
 
   #log(event: string, fields: Readonly<Record<string, string | number | undefined>>): void {
