--- a/batch/sessions/src/blameCrash.ts
+++ b/batch/sessions/src/blameCrash.ts
@@ -1,21 +1,22 @@
-/** Who may have brought an upstream down, of all that was placed there. */
+/** Assigns blame for the crash of an upstream among the runs that were placed there. */
 import { runKey } from '@nettlespur/batch.model'
 import type { CrashBlame, Placement } from '@nettlespur/batch.state'
 
 /** What is known of a run when its upstream crashes. */
 export interface CrashedRun {
   readonly placement: Placement
-  /** It had been seen at work for a while. */
+  /** Whether it has been seen running for `provenAfterMs` since its start. */
   readonly isProven: boolean
   /**
-   * `no`: the order to start it is still on its way, and the next life of the upstream may be the one to get it.
-   * `unknown`: the order got no answer.
+   * `no`: the start order is still in flight, and may reach only the restarted upstream.
+   * `unknown`: the start order got no answer.
    */
   readonly hasStarted: 'no' | 'unknown' | 'yes'
 }
 
 /**
- * By run key. `isCertain`: the upstream surely crashed; one that is only silent may be cut off, with all that runs there well.
+ * Returns the blame of each run, by run key. `isCertain` tells a proven crash from mere silence, which may be a network
+ * partition that leaves all runs there intact.
  */
 export function blameCrash(
   runs: readonly CrashedRun[],
@@ -25,7 +26,7 @@
   const hasUnprovenRun = started.some(({ isProven }) => !isProven)
   const assignBlame = ({ isProven, hasStarted }: CrashedRun): CrashBlame => {
     if (hasStarted === 'no') return 'none'
-    // Where all have been at work for a while, any of them may have done it.
+    // If every started run is proven, any of them may have caused the crash.
     if (isProven) return hasUnprovenRun ? 'none' : 'suspected'
     return isCertain && hasStarted === 'yes' ? 'blamed' : 'suspected'
   }
--- a/batch/sessions/src/callAnswers.ts
+++ b/batch/sessions/src/callAnswers.ts
@@ -1,14 +1,14 @@
-/** Whether an upstream answers our calls. */
+/** Tracks whether an upstream answers the leader's calls. All times are on the leader's monotonic clock. */
 export class CallAnswers {
-  /** Calls in a row that got no answer. */
+  /** Consecutive calls without an answer. */
   unanswered = 0
-  /** When the last call without an answer was given up, on our clock. */
+  /** When the last unanswered call was given up. */
   unansweredAtMs = -Infinity
-  /** When it last refused a start for want of room or health, on our clock. */
+  /** When it last refused a start as `no-room` or `unhealthy`. */
   refusedAtMs = -Infinity
-  /** When it first answered, on our clock. */
+  /** When it first answered a call. */
   firstAnswerAtMs = -Infinity
-  /** Resolves once the first call was answered or given up. */
+  /** Resolves once the first call has been answered or given up. */
   readonly firstCallSettled: Promise<void>
   readonly #settleFirstCall: () => void
 
--- a/batch/sessions/src/clockEstimate.ts
+++ b/batch/sessions/src/clockEstimate.ts
@@ -1,9 +1,9 @@
 /**
- * What an upstream's steady clock shows at least. Each answer gives a reading that is a little old when it
- * arrives; from then on the clock has run at least at the slowest rate allowed.
+ * A lower bound for an upstream's monotonic clock. Each answer carries a reading that is slightly old when it arrives;
+ * since then the clock has advanced at no less than the slowest allowed rate.
  */
 
-/** An upstream's clock may be slower than ours by 2 %, by the platform's agreement. */
+/** The platform's agreement allows an upstream's clock to run up to 2 % slower than the leader's. */
 const slowestRate = 0.98
 
 export class ClockEstimate {
@@ -14,19 +14,22 @@
     return this.#readAtMs !== undefined
   }
 
-  /** `receivedAtMs` is our own clock's time. */
+  /**
+   * Records a reading of the upstream's clock that was received at `receivedAtMs` on the leader's clock. A reading that
+   * does not raise the bound is ignored.
+   */
   noteReading(clockMs: number, receivedAtMs: number): void {
     if (this.#readAtMs !== undefined && clockMs <= this.lowerBoundMs(receivedAtMs)) return
     this.#clockMs = clockMs
     this.#readAtMs = receivedAtMs
   }
 
-  /** The upstream's clock shows this or more; 0 where nothing is known. */
+  /** The least that the upstream's clock can show at `nowMs` on the leader's clock; 0 before the first reading. */
   lowerBoundMs(nowMs: number): number {
     return this.#readAtMs === undefined ? 0 : this.#clockMs + (nowMs - this.#readAtMs) * slowestRate
   }
 
-  /** How long, by our clock, until a span of the upstream's has surely passed. */
+  /** The time on the leader's clock after which `upstreamMs` have certainly passed on the upstream's clock. */
   static toMaxLocalMs(upstreamMs: number): number {
     return upstreamMs / slowestRate
   }
--- a/batch/sessions/src/endCursor.ts
+++ b/batch/sessions/src/endCursor.ts
@@ -1,16 +1,16 @@
-/** Which ends of one life of an upstream are committed here, and so may be forgotten there. */
+/** Tracks which reported ends of runs are committed, so that the upstream may forget them. */
 import type { FinishedRun } from './upstreamPort.js'
 
 export class EndCursor {
   #committed = 0
   #reported = 0
 
-  /** All ends up to this number are committed, or are of nothing that is placed there. */
+  /** All ends up to this number are committed, or belong to runs that are not placed there. */
   get committed(): number {
     return this.#committed
   }
 
-  /** Ends were shown that have not been acknowledged. */
+  /** Whether reported ends have not been acknowledged yet. */
   get hasUnacknowledged(): boolean {
     return this.#committed < this.#reported
   }
@@ -19,7 +19,7 @@
     this.#reported = Math.max(this.#reported, ...finished.map(({ number }) => number))
   }
 
-  /** The ends shown are committed. */
+  /** To be called once all ends reported so far are committed. */
   advance(): void {
     this.#committed = this.#reported
   }
--- a/batch/sessions/src/index.ts
+++ b/batch/sessions/src/index.ts
@@ -1,4 +1,4 @@
-/** One conversation for each upstream that runs batch tasks. */
+/** The leader's session with each upstream that runs batch tasks. */
 export { blameCrash } from './blameCrash.js'
 export { ClockEstimate } from './clockEstimate.js'
 export { LeaseTracker } from './leaseTracker.js'
--- a/batch/sessions/src/interpretPoll.ts
+++ b/batch/sessions/src/interpretPoll.ts
@@ -1,4 +1,4 @@
-/** What one look at an upstream means for the runs that are placed there. */
+/** Derives from the answer to one poll which of the placed runs have ended. */
 import { runKey } from '@nettlespur/batch.model'
 import type { Placement, RunEnd, RunOutcome } from '@nettlespur/batch.state'
 import type { RunTrack } from './runTrack.js'
@@ -16,18 +16,18 @@
 export interface PollResult {
   readonly running: readonly RunningRun[]
   readonly finished: readonly FinishedRun[]
-  /** Rows of the two lists that could not be read. */
+  /** Number of rows in the two lists that could not be parsed. */
   readonly unreadRows: number
-  /** When it was sent, on our clock. */
+  /** When the poll was sent, on the leader's clock. */
   readonly sentAtMs: number
 }
 
 export interface PollReading {
-  /** Ends of placed runs, those included that will never run. */
+  /** Ends of placed runs, including runs that the upstream never started and never will. */
   readonly ends: readonly RunEnd[]
-  /** Runs that would have ended, were it not for rows that could not be read: one of these may be theirs. */
+  /** Runs that would count as lost, except that one of the unparsable rows may be theirs. */
   readonly unlisted: readonly RunTrack[]
-  /** No row that could not be read can be the end of a run placed there: all of these are listed. */
+  /** Whether no unparsable row can be the end of a placed run: every row parsed, or every placed run is listed. */
   readonly mayAcknowledge: boolean
 }
 
@@ -63,7 +63,10 @@
   return { ...placement, outcome: 'lost', checkpoint }
 }
 
-/** Under this leader's fence no earlier leader's order is carried out any more. */
+/**
+ * Whether a run that is missing from the answer has certainly ended or will never start. An inherited run has: once the
+ * upstream has seen this leader's fence it executes no order of an earlier leader.
+ */
 function isSettledBefore({ phase, settledAtMs }: RunTrack, sentAtMs: number): boolean {
   return phase === 'inherited' || (phase === 'settled' && settledAtMs < sentAtMs)
 }
--- a/batch/sessions/src/leaseTracker.ts
+++ b/batch/sessions/src/leaseTracker.ts
@@ -1,16 +1,16 @@
 /**
- * Until when an upstream may still run, or come to run, what it was told. The bound covers orders without
- * an answer, and those of the leader before this one.
+ * Tracks until when an upstream may still run or start what it was ordered to. The bound covers unanswered orders, and
+ * orders of earlier leaders.
  */
 import { ClockEstimate } from './clockEstimate.js'
 
-/** For the leader before: it may have renewed leases for a moment after this one took over. */
+/** The previous leader may have renewed leases for a moment after this one took over. */
 const predecessorMarginMs = 1000
 
 export interface LeaseTrackerOptions {
-  /** The longest lease that any leader gives. */
+  /** The longest lease that any leader grants. */
   leaseMs: number
-  /** When this leader took over, on its own clock; undefined where the upstream holds no orders of earlier ones. */
+  /** When this leader took over, on its own clock; undefined if earlier leaders left no placed runs there. */
   takeoverMs: number | undefined
 }
 
@@ -18,7 +18,7 @@
   readonly clock = new ClockEstimate()
   readonly #leaseMs: number
   readonly #predecessorEndMs: number
-  /** The latest end given out, on the upstream's clock. */
+  /** The latest lease end sent to the upstream, on its clock. */
   #latestEndMs = 0
 
   constructor({ leaseMs, takeoverMs }: LeaseTrackerOptions) {
@@ -29,14 +29,14 @@
         : takeoverMs + ClockEstimate.toMaxLocalMs(leaseMs + predecessorMarginMs)
   }
 
-  /** The end, on the upstream's clock, of a lease given now; noted as given. */
+  /** Computes the end of a lease granted now, on the upstream's clock, and records it as granted. */
   extend(nowMs: number): number {
     const endMs = Math.floor(this.clock.lowerBoundMs(nowMs) + this.#leaseMs)
     this.#latestEndMs = Math.max(this.#latestEndMs, endMs)
     return endMs
   }
 
-  /** Nothing that any leader ordered there can run any more. */
+  /** Whether all leases granted by this and earlier leaders have certainly expired, so that nothing can run there. */
   hasExpired(nowMs: number): boolean {
     return nowMs >= this.#predecessorEndMs && this.clock.lowerBoundMs(nowMs) >= this.#latestEndMs
   }
--- a/batch/sessions/src/lossCause.ts
+++ b/batch/sessions/src/lossCause.ts
@@ -1,12 +1,12 @@
-/** Why runs end that no list of their upstream shows as ended. */
+/** Why the leader ends runs whose end their upstream has not reported. */
 export type LossCause =
-  /** Another life of the upstream answers, and the former one had not said that it leaves. */
+  /** Another process answers under the upstream's address. Counts as a crash unless the upstream was draining. */
   | 'crashed'
-  /** The upstream had said that it leaves. */
+  /** The upstream had announced its shutdown. */
   | 'left'
-  /** It has been silent until its lease was surely over. */
+  /** The upstream did not answer until its lease had certainly expired. */
   | 'lease-over'
-  /** It answers, but hides the run, and no lease was given for so long that the run has surely ended. */
+  /** The upstream answers, but its lists with unparsable rows omitted the run until the lease had certainly expired. */
   | 'unlisted'
-  /** The upstream refused the start, or it surely never arrived. */
+  /** The upstream refused the start order, or the order certainly never arrived. */
   | 'not-started'
--- a/batch/sessions/src/lostRuns.ts
+++ b/batch/sessions/src/lostRuns.ts
@@ -1,4 +1,4 @@
-/** The ends of runs that no list of their upstream shows as ended: one line of the log each, with what is known of it. */
+/** Creates the ends of runs whose end their upstream has not reported, and logs one line for each such run. */
 import { runFields, runKey } from '@nettlespur/batch.model'
 import type { CrashBlame, Placement, RunEnd } from '@nettlespur/batch.state'
 import { blameCrash, type CrashedRun } from './blameCrash.js'
@@ -15,7 +15,7 @@
   'not-started': false,
 }
 
-/** What an earlier leader placed has most likely started: it gives an order as soon as that is committed. */
+/** An inherited run has most likely started: leaders send the start order as soon as the placement is committed. */
 const hasStartedByPhase: Readonly<Record<RunPhase, CrashedRun['hasStarted']>> = {
   starting: 'no',
   refused: 'no',
@@ -33,20 +33,20 @@
 
 export class LostRuns {
   readonly #opts: LostRunsOptions
-  /** Runs that have their line, by key: where a commit fails their ends are listed again. */
+  /** Keys of the runs already logged: the ends are listed again if committing them fails. */
   readonly #loggedKeys = new Set<string>()
 
   constructor(opts: LostRunsOptions) {
     this.#opts = opts
   }
 
-  /** The run never was, and will never be, at work. */
+  /** Returns the end of a run that was never started and never will be. */
   listUnstartedEnds(placement: Placement): RunEnd[] {
     this.#log(placement, 'not-started')
     return [{ ...placement, outcome: 'lost' }]
   }
 
-  /** Of all that is placed on an upstream whose life is over, with the newest checkpoint seen of each. */
+  /** Returns the ends of `placements`, all on this upstream, each with the newest checkpoint seen. */
   listEnds(placements: readonly Placement[], cause: LossCause): RunEnd[] {
     const blames = this.#blame(placements, cause)
     return placements.map((placement) => {
@@ -58,7 +58,7 @@
     })
   }
 
-  /** None where the upstream has not crashed. A run that never got there went down with nothing. */
+  /** Returns an empty map if the upstream cannot have crashed, and omits refused runs, which never reached it. */
   #blame(placements: readonly Placement[], cause: LossCause): ReadonlyMap<string, CrashBlame> {
     const { host, target } = this.#opts
     const upstream = host.findUpstream(target.upstreamId)
--- a/batch/sessions/src/planPoll.ts
+++ b/batch/sessions/src/planPoll.ts
@@ -1,4 +1,4 @@
-/** What a look at an upstream asks for: whether it renews the lease there, and how long it may wait for an end. */
+/** Decides whether the next poll of an upstream renews the lease, and how long the upstream may delay its answer. */
 import type { CallAnswers } from './callAnswers.js'
 import type { LeaseTracker } from './leaseTracker.js'
 import type { RunTracks } from './runTracks.js'
@@ -9,7 +9,7 @@
   lease: LeaseTracker
   answers: CallAnswers
   tracks: RunTracks
-  /** Something is placed there. */
+  /** Whether any run is placed there. */
   isInUse: boolean
   holdWaitMs: number
   nowMs: number
@@ -17,8 +17,8 @@
 
 export function planPoll(opts: PlanPollOptions): Pick<HoldOrder, 'leaseEndMs' | 'waitMs'> {
   const { lease, answers, tracks, isInUse, holdWaitMs, nowMs } = opts
-  // Calls into silence must not prolong the lease, or an upstream lost for good would never be given up. Nor must
-  // looks that go on to hide a run: once the lease is over it has surely ended, which no list may tell of it.
+  // Unanswered polls must not renew the lease, or the runs of an unreachable upstream would never be given up. Nor may
+  // polls whose answers keep omitting a run: only the expiry of the lease then shows that the run has ended.
   const shouldRenew =
     lease.clock.hasReading && answers.unanswered === 0 && !tracks.hasLongUnlisted(nowMs)
   const canWait = shouldRenew && !tracks.hasInherited && isInUse
--- a/batch/sessions/src/runOrders.ts
+++ b/batch/sessions/src/runOrders.ts
@@ -1,4 +1,4 @@
-/** Gives starts and stops to one upstream, and says what is known of each afterwards. */
+/** Sends start and stop orders to one upstream, and returns what is known about each order afterwards. */
 import { runFields, type RunRef } from '@nettlespur/batch.model'
 import type { Placement } from '@nettlespur/batch.state'
 import type { Clock } from '@nettlespur/core.clock'
@@ -18,7 +18,7 @@
   lease: LeaseTracker
 }
 
-/** `in-doubt`: it may have been carried out, or may still be. `not-sent`: it surely never will. */
+/** `in-doubt`: the order may have been executed or may yet be. `not-sent`: it certainly never reached the upstream. */
 export type StartResult = StartAnswer | { readonly type: 'in-doubt' | 'not-sent' }
 
 export class RunOrders {
@@ -28,7 +28,7 @@
     this.#opts = opts
   }
 
-  /** Gives a start, and gives it again where no answer comes. */
+  /** Sends a start order, and sends it again if no answer comes. */
   async start(placement: Placement): Promise<StartResult> {
     const result = await this.#tryToStart(placement)
     const reason = result.type === 'refused' ? result.reason : undefined
@@ -36,7 +36,7 @@
     return result
   }
 
-  /** Undefined where no answer came. */
+  /** Returns undefined if no answer came. */
   async stop(run: RunRef): Promise<StopAnswer | undefined> {
     const { port, target, host } = this.#opts
     try {
--- a/batch/sessions/src/runTrack.ts
+++ b/batch/sessions/src/runTrack.ts
@@ -1,32 +1,33 @@
-/** What the leader knows of one placed run. */
+/** What the leader knows about one placed run. */
 import type { Placement } from '@nettlespur/batch.state'
 
 /**
- * `starting`: the order is under way. `inherited`: placed by an earlier leader, not yet seen. `settled`:
- * the upstream has answered at `settledAtMs`, so a look sent later shows the run or its end, or it will
- * never run. `in-doubt`: an order may have got there, and a stop is to settle it. `refused`: another life of the upstream
- * got the order.
+ * - `starting`: the start order is in flight.
+ * - `inherited`: placed by an earlier leader, and not listed by the upstream yet.
+ * - `settled`: the upstream answered an order for the run, or has listed an inherited run. If a poll sent after
+ *   `settledAtMs` lists neither the run nor its end, the run will never start.
+ * - `in-doubt`: the start order may have arrived; a stop order will settle it.
+ * - `refused`: the order reached another process under the upstream's address.
  */
 export type RunPhase = 'starting' | 'inherited' | 'settled' | 'in-doubt' | 'refused'
 
 export interface RunTrack {
   readonly placement: Placement
   phase: RunPhase
-  /** On our clock. */
+  /** On the leader's clock, as all times here. */
   settledAtMs: number
   startedAtMs: number
   progressPercent: number
   checkpoint: string
   /**
-   * Since when, on our clock, it has been missing from looks with rows that could not be read; undefined where it is
-   * listed.
+   * Since when the run has been missing from answers that contained unparsable rows; undefined while it is listed.
    */
   unlistedSinceMs?: number | undefined
-  /** A stop is on its way, or was answered. */
+  /** Whether a stop order is in flight or has been answered. */
   isStopping: boolean
-  /** It was seen at work for so long after its start that it will not crash its upstream by being started. */
+  /** Whether it was seen running so long after its start that it will not crash its upstream by starting. */
   isProven: boolean
-  /** It is suspected of crashing its upstream: until it is proven, nothing else starts there. */
+  /** Whether it is suspected of crashing upstreams: until it is proven, nothing else starts there. */
   readonly isOnTrial: boolean
 }
 
--- a/batch/sessions/src/runTracks.ts
+++ b/batch/sessions/src/runTracks.ts
@@ -1,4 +1,4 @@
-/** The runs that a session follows. */
+/** The placed runs that a session follows. */
 import { runKey, type RunRef } from '@nettlespur/batch.model'
 import { isSuspectTask, type Placement } from '@nettlespur/batch.state'
 import type { Clock } from '@nettlespur/core.clock'
@@ -7,14 +7,14 @@
 import { provenAfterMs, unlistedMsMax, type UpstreamSessionOptions } from './sessionOptions.js'
 import type { RunningRun } from './upstreamPort.js'
 
-/** What others than the session itself may read. */
+/** The part that code outside the session may read. */
 export type ReadonlyRunTracks = Pick<
   RunTracks,
   'find' | 'hasTrial' | 'hasUnproven' | 'unlistedAtMs'
 >
 
 export class RunTracks {
-  /** When a run was last missing from a look with rows that could not be read, on our clock. */
+  /** When a run was last missing from an answer with unparsable rows, on the leader's clock. */
   unlistedAtMs = -Infinity
   readonly #byKey = new Map<string, RunTrack>()
   readonly #host: SessionHost
@@ -29,7 +29,7 @@
     return this.#byKey
   }
 
-  /** Some were placed by an earlier leader and have not been seen yet. */
+  /** Whether any run was placed by an earlier leader and has not been listed yet. */
   get hasInherited(): boolean {
     return [...this.#byKey.values()].some(({ phase }) => phase === 'inherited')
   }
@@ -38,13 +38,13 @@
     return this.#byKey.get(runKey(run))
   }
 
-  /** Some run has not yet been seen at work for long enough; an upstream that crashes now has it among the suspects. */
+  /** Whether any run is not proven yet, and would therefore be a suspect if the upstream crashed now. */
   get hasUnproven(): boolean {
     for (const { isProven } of this.#byKey.values()) if (!isProven) return true
     return false
   }
 
-  /** Nothing else is to start there for now. */
+  /** Whether a run is on trial, so that nothing else may start there. */
   get hasTrial(): boolean {
     for (const { isOnTrial, isProven } of this.#byKey.values()) {
       if (isOnTrial && !isProven) return true
@@ -65,14 +65,14 @@
     this.#byKey.delete(runKey(run))
   }
 
-  /** Forgets runs that ended elsewhere: another member of a gang was done, or its job was. */
+  /** Drops runs that are no longer placed, such as those of a gang of which another member has finished. */
   keepOnly(placements: ReadonlyMap<string, Placement>): void {
     for (const key of this.#byKey.keys()) {
       if (!placements.has(key)) this.#byKey.delete(key)
     }
   }
 
-  /** Takes in what runs. Gives the runs that are not to be there. */
+  /** Updates the listed runs, and returns those that should not run there. */
   noteRunning(
     running: readonly RunningRun[],
     placements: ReadonlyMap<string, Placement>,
@@ -94,7 +94,7 @@
     return strays
   }
 
-  /** Takes in what a look with unread rows does not show. Gives the runs that were listed until now. */
+  /** Records runs that are missing from an answer with unparsable rows, and returns those newly missing. */
   noteUnlisted(unlisted: readonly RunTrack[], nowMs: number): RunRef[] {
     if (unlisted.length > 0) this.unlistedAtMs = nowMs
     const newlyUnlisted = unlisted.filter(({ unlistedSinceMs }) => unlistedSinceMs === undefined)
@@ -102,7 +102,7 @@
     return newlyUnlisted.map(({ placement }) => placement)
   }
 
-  /** Looks go on to hide a run that may be there. */
+  /** Whether a run that may still be there has been missing from the answers for `unlistedMsMax`. */
   hasLongUnlisted(nowMs: number): boolean {
     return [...this.#byKey.values()].some(
       ({ unlistedSinceMs = Infinity }) => nowMs - unlistedSinceMs >= unlistedMsMax,
--- a/batch/sessions/src/sessionOptions.ts
+++ b/batch/sessions/src/sessionOptions.ts
@@ -1,13 +1,13 @@
-/** What a conversation with an upstream is made of, and its timings. */
+/** Dependencies and timings of the session with an upstream. */
 import type { Clock } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
 import type { SessionHost } from './sessionHost.js'
 import type { UpstreamPort, UpstreamTarget } from './upstreamPort.js'
 
 export interface SessionTimings {
-  /** The lease given to all that runs on an upstream. */
+  /** Length of the lease, which covers all runs on an upstream. */
   readonly leaseMs: number
-  /** How long an upstream may keep a look waiting for an end. */
+  /** How long an upstream may delay its answer to a poll while no run ends. */
   readonly holdWaitMs: number
 }
 
@@ -18,30 +18,30 @@
   clock: Clock
   logger: Logger
   timings: SessionTimings
-  /** When this leader took over, where an earlier one had placed runs there. */
+  /** When this leader took over, on its own clock; undefined if earlier leaders left no placed runs there. */
   takeoverMs: number | undefined
   signal: AbortSignal
 }
 
 /**
- * An upstream answers an order in a few milliseconds over links of 1 ms; with a lost packet it takes about
- * 200 ms more. What takes longer is sent again on another connection.
+ * Over links of 1 ms an upstream answers an order in a few milliseconds, or about 200 ms later if a packet is lost.
+ * An order that takes longer is sent again on another connection.
  */
 export const orderTimeoutMs = 500
-/** Allowed to a look beyond the time it waits there; see `orderTimeoutMs`. */
+/** Added to the requested wait of a poll to get its timeout; see `orderTimeoutMs`. */
 export const holdTimeoutMarginMs = 700
-/** Two tries stay well within the 3,000 ms in which all members of a gang have to be there. */
+/** Two tries stay well within the 3,000 ms in which all members of a gang must have started. */
 export const startTriesMax = 2
-/** How long an upstream may keep a look waiting while a start is on trial there: others wait for it to be over. */
+/** Limits the wait of a poll while a run is on trial there, because other starts wait for the trial to end. */
 export const trialPollWaitMs = 500
-/** Between calls to an upstream that does not answer. */
+/** Pause before the next call after a call without an answer, a rejected fence or a failed commit. */
 export const retryPauseMs = 250
-/** After a look with unread rows: an upstream that answers at once each time is not to be asked without end. */
+/** Pause after an answer with unparsable rows, to avoid polling an upstream that answers at once in a tight loop. */
 export const unreadPauseMs = 100
-/** Some looks later a row that was torn once is whole again; a run that is still unlisted cannot be followed. */
+/** A row that was damaged once is intact a few polls later; a run that stays unlisted for longer cannot be followed. */
 export const unlistedMsMax = 3000
 /**
- * A run that crashes its upstream does so as it starts. An answer that shows it this long after the answer to its start was
- * given after that, also where a lost packet held the answer up.
+ * A run that crashes its upstream does so as it starts. If an answer lists the run this long after the start order was
+ * answered, the run has survived its start, even if a lost packet delayed that answer.
  */
 export const provenAfterMs = 1000
--- a/batch/sessions/src/upstreamEnding.ts
+++ b/batch/sessions/src/upstreamEnding.ts
@@ -1,13 +1,13 @@
-/** Ends all that is placed on an upstream whose life is over, and then the session, however often it is told. */
+/** Ends all runs placed on an upstream whose process is gone, and then the session. May be called repeatedly. */
 import type { LeaseTracker } from './leaseTracker.js'
 import type { LossCause } from './lossCause.js'
 import { retryPauseMs, type UpstreamSessionOptions } from './sessionOptions.js'
 
-/** How the life of an upstream ends. */
+/** Why the upstream's process is gone. */
 export type EndingCause = Extract<LossCause, 'crashed' | 'left'>
 
 const reasons: Readonly<Record<EndingCause, string>> = {
-  crashed: 'another life of it answers',
+  crashed: 'another process answers at its address',
   left: 'it has left',
 }
 
@@ -15,12 +15,12 @@
   UpstreamSessionOptions,
   'target' | 'host' | 'clock' | 'logger' | 'signal'
 > {
-  /** Commits the ends of all that is placed there; false where that failed. */
+  /** Commits the ends of all runs placed there. Resolves to false if that failed. */
   commitLost: (cause: LossCause) => Promise<boolean>
 }
 
 export class UpstreamEnding {
-  /** Nothing is placed there any more, and the host knows. */
+  /** Whether all runs have ended and the host has been told, so that the session is over. */
   isOver = false
   readonly #opts: UpstreamEndingOptions
   #ending: Promise<void> | undefined
@@ -29,7 +29,7 @@
     this.#opts = opts
   }
 
-  /** Several calls may be told at a time. */
+  /** Ends the runs and the session. Concurrent calls, as from several answers at once, share one execution. */
   end(cause: EndingCause): Promise<void> {
     this.#ending ??= this.#endAll(cause).finally(() => {
       this.#ending = undefined
@@ -37,7 +37,7 @@
     return this.#ending
   }
 
-  /** Ends what runs there once nothing can run any more; the upstream may still answer later. */
+  /** Ends all runs placed there if the lease has expired. The session continues, as the upstream may answer again. */
   giveUpAfterLease(lease: LeaseTracker, cause: LossCause): void {
     const { clock, signal, host, logger, target, commitLost } = this.#opts
     if (this.isOver || signal.aborted || !lease.hasExpired(clock.monotonicMs())) return
@@ -48,8 +48,9 @@
   }
 
   /**
-   * What is placed there while ends are being committed is told of by nobody else, also where the answer to its
-   * start comes only later: else its job would be running for as long as this leader leads, and none of it anywhere.
+   * Repeats until nothing is placed there: a run may be placed while ends are being committed, and its start order may
+   * be answered only after `isOver` is set. Nothing else reports its end, so its job would count as running for the
+   * rest of this leader's term.
    */
   async #endAll(cause: EndingCause): Promise<void> {
     const { clock, signal, host, logger, target, commitLost } = this.#opts
--- a/batch/sessions/src/upstreamPort.ts
+++ b/batch/sessions/src/upstreamPort.ts
@@ -1,10 +1,10 @@
 /**
- * What control asks of an upstream that runs batch tasks. Orders carry the fence of the leader that gives
- * them; an upstream does nothing for a lower fence than it has seen.
+ * The calls from the leader to an upstream that runs batch tasks. Orders carry the fencing token of the leader that
+ * sends them; an upstream rejects orders with a lower token than it has seen.
  */
 import type { RunRef } from '@nettlespur/batch.model'
 
-/** One life of an upstream's process. */
+/** One process of an upstream: a restarted process has another id. */
 export interface UpstreamTarget {
   readonly upstreamId: string
   /** `IP:PORT`. */
@@ -14,9 +14,9 @@
 export interface StartOrder {
   readonly run: RunRef
   readonly payload: string
-  /** What it resumes from; empty where it begins anew. */
+  /** What the run resumes from; empty if it starts from the beginning. */
   readonly checkpoint: string
-  /** End of the lease of all that runs there, on the upstream's clock. */
+  /** End of the lease that covers all runs there, on the upstream's clock. */
   readonly leaseEndMs: number
   readonly fence: number
 }
@@ -27,26 +27,26 @@
 }
 
 export interface HoldOrder {
-  /** Renews the lease of all that runs there until then, on the upstream's clock; absent: asks only. */
+  /** New end of the lease that covers all runs there, on the upstream's clock; undefined leaves the lease unchanged. */
   readonly leaseEndMs: number | undefined
   readonly fence: number
-  /** Ends up to this number are in the committed state and may be forgotten. */
+  /** Acknowledges ends up to this number: they are committed, and the upstream may forget them. */
   readonly cursor: number
-  /** How long the answer may wait for an end. */
+  /** How long the upstream may delay its answer while no run ends. */
   readonly waitMs: number
 }
 
-/** Why an upstream does not start a run. */
+/** Why an upstream refuses to start a run. */
 export type StartRefusal =
   | 'fence'
-  /** This attempt, or a later one, has ended or was stopped there. */
+  /** This attempt or a later one has already ended or been stopped there. */
   | 'superseded'
   | 'lease-over'
   | 'no-room'
   | 'unhealthy'
   | 'invalid'
 
-/** The upstream's steady clock as it answered, where it said so. */
+/** The upstream's monotonic clock when it answered; undefined if the answer did not state it. */
 interface ClockReading {
   readonly clockMs: number | undefined
 }
@@ -55,7 +55,7 @@
   (
     | { readonly type: 'started' }
     | { readonly type: 'refused'; readonly reason: StartRefusal }
-    /** Another life of the upstream answered: this one is over. */
+    /** Another process answered under the upstream's address: the addressed one is gone. */
     | { readonly type: 'gone' }
   )
 
@@ -63,7 +63,7 @@
 
 export interface RunningRun {
   readonly run: RunRef
-  /** The newest checkpoint; empty where there is none. */
+  /** The newest checkpoint; empty if there is none. */
   readonly checkpoint: string
   readonly progressPercent: number
 }
@@ -71,7 +71,7 @@
 export type FinishedOutcome = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
 
 export interface FinishedRun {
-  /** Counts the ends of this life of the upstream, from 1. */
+  /** Sequence number of the end within the upstream's process, from 1. */
   readonly number: number
   readonly run: RunRef
   readonly outcome: FinishedOutcome
@@ -84,16 +84,17 @@
         readonly type: 'held'
         readonly running: readonly RunningRun[]
         readonly finished: readonly FinishedRun[]
-        /** Rows of the two lists that could not be read: what they stood for may run, or may have ended. */
+        /** Number of rows that could not be parsed: the runs they describe may be running or finished. */
         readonly unreadRows: number
       }
     | { readonly type: 'fence' }
     | { readonly type: 'gone' }
   )
 
-/** Errors of all calls: reject with `unreachable` where nothing has left, else `outcome-unknown`. */
+/** Errors: all calls reject with `unreachable` if nothing was sent, and otherwise with `outcome-unknown`. */
 export abstract class UpstreamPort {
   abstract start(to: UpstreamTarget, order: StartOrder, timeoutMs: number): Promise<StartAnswer>
   abstract stop(to: UpstreamTarget, order: StopOrder, timeoutMs: number): Promise<StopAnswer>
+  /** Polls the running and finished runs (a long poll), renews the lease and acknowledges ends. */
   abstract hold(to: UpstreamTarget, order: HoldOrder, timeoutMs: number): Promise<HoldAnswer>
 }
--- a/batch/sessions/src/upstreamSession.ts
+++ b/batch/sessions/src/upstreamSession.ts
@@ -1,7 +1,6 @@
 /**
- * The conversation with one upstream for as long as something is placed there: it gives starts and stops,
- * keeps the one lease of all that runs there, and brings the ends into the committed state. Ends are
- * acknowledged to the upstream only once they are committed.
+ * The leader's session with one upstream: sends start and stop orders, and while runs are placed there polls, renews the
+ * one lease that covers them all and commits their ends. Ends are acknowledged only once they are committed.
  */
 import { runFields, runKey, type RunRef } from '@nettlespur/batch.model'
 import type { Placement, RunEnd } from '@nettlespur/batch.state'
@@ -47,31 +46,30 @@
     this.#ending = new UpstreamEnding({ ...opts, commitLost })
   }
 
-  /** The runs placed there, as this leader has seen them. */
   get tracks(): ReadonlyRunTracks {
     return this.#tracks
   }
 
-  /** Takes up what earlier leaders placed there. */
+  /** Takes over the runs that earlier leaders placed there. */
   resume(): void {
     for (const placement of this.#placements().values()) this.#tracks.follow(placement, 'inherited')
     this.#startPolling()
   }
 
-  /** Looks once though nothing is placed there: whether it answers, and what its clock says. */
+  /** Polls at least once even if nothing is placed there, to learn whether the upstream answers and read its clock. */
   pollOnce(): void {
     this.#isPollRequested = true
     this.#startPolling()
   }
 
-  /** Starts a run whose placement is committed. */
+  /** Sends the start order of a run whose placement is committed. */
   start(placement: Placement): void {
     const track = this.#tracks.follow(placement, 'starting')
     this.#startPolling()
     void this.#orders.start(placement).then((result) => this.#handleStartResult(track, result))
   }
 
-  /** Stops the run if it is to be stopped. To be called when that may have changed. */
+  /** Stops the run if the host says so. To be called whenever that may have changed. */
   stopIfNeeded(placement: Placement): void {
     const track = this.#tracks.find(placement)
     const isDue = track?.isStopping === false && this.#opts.host.shouldStop(placement)
@@ -116,13 +114,13 @@
         this.#ending.giveUpAfterLease(this.lease, 'unlisted')
       if (isAnswered) continue
       await this.#opts.clock.sleep(retryPauseMs, this.#opts.signal)
-      // It may have said so just as its connection broke: another look could wait in vain for seconds.
+      // Its shutdown may have been announced as the connection broke; another poll could wait in vain for seconds.
       const { host, target } = this.#opts
       if (host.findUpstream(target.upstreamId)?.hasLeft === true) await this.#ending.end('left')
     }
   }
 
-  /** False where no answer came. */
+  /** Resolves to false if no answer came. */
   async #poll(): Promise<boolean> {
     const { port, target, host, timings, clock } = this.#opts
     const sentAtMs = this.#nowMs()
@@ -150,7 +148,7 @@
       return false
     } finally {
       this.#isPollRequested = false
-      // Lets other work of this process go first where an upstream answers at once each time.
+      // Yields to other work of this process, in case the upstream always answers at once.
       await clock.sleep(0)
     }
   }
@@ -218,7 +216,7 @@
       track.phase = 'settled'
   }
 
-  /** Once a stop is answered, a start of this attempt that comes later is refused. */
+  /** Retries until a stop is answered; from then on the upstream refuses a delayed start order of this attempt. */
   async #stopUntilAnswered(track: RunTrack): Promise<void> {
     if (track.isStopping) return
     track.isStopping = true
@@ -232,7 +230,7 @@
     }
   }
 
-  /** Whether the stop was answered. */
+  /** Resolves to true if the upstream accepted the stop. */
   async #sendStop(run: RunRef): Promise<boolean> {
     const answer = await this.#orders.stop(run)
     if (answer === undefined) return false
@@ -241,7 +239,6 @@
     return answer.type === 'stopping'
   }
 
-  /** Ends all that is placed there. */
   #commitLostEnds(cause: LossCause): Promise<boolean> {
     return this.#commitEnds(this.#lostRuns.listEnds([...this.#placements().values()], cause))
   }
