--- a/batch/sessions/src/endCursor.ts
+++ b/batch/sessions/src/endCursor.ts
@@ -1,26 +1,26 @@
-/** Which ends of one life of an upstream are committed here, and so may be forgotten there. */
+/** Tracks which reported ends of runs are committed, so that the upstream may forget them. */
 import type { FinishedRun } from './upstreamPort.js'
 
 export class EndCursor {
   #committed = 0
-  #shown = 0
+  #reported = 0
 
-  /** All ends up to this number are committed, or are of nothing that is placed there. */
+  /** All ends up to this number are committed, or belong to runs that are not placed there. */
   get committed(): number {
     return this.#committed
   }
 
-  /** Ends were shown that have not been acknowledged. */
-  get isBehind(): boolean {
-    return this.#committed < this.#shown
+  /** Whether reported ends have not been acknowledged yet. */
+  get hasUnacknowledged(): boolean {
+    return this.#committed < this.#reported
   }
 
-  noteShown(finished: readonly FinishedRun[]): void {
-    this.#shown = Math.max(this.#shown, ...finished.map(({ number }) => number))
+  noteReported(finished: readonly FinishedRun[]): void {
+    this.#reported = Math.max(this.#reported, ...finished.map(({ number }) => number))
   }
 
-  /** The ends shown are committed. */
+  /** To be called once all ends reported so far are committed. */
   advance(): void {
-    this.#committed = this.#shown
+    this.#committed = this.#reported
   }
 }
--- a/batch/state/src/batchState.ts
+++ b/batch/state/src/batchState.ts
@@ -1,6 +1,6 @@
 /**
- * The state that all members of control agree on: the configuration, the jobs with the placement of each
- * task, and the upstreams. Commands give the same result on each member.
+ * The replicated state of all control members: the configuration, the jobs with the placement of each task, and
+ * the upstreams. Applying a command is deterministic, so every member computes the same state.
  */
 import { clusterConfigSchema, type ClusterConfig } from '@nettlespur/batch.model'
 import { isDeepStrictEqual } from 'node:util'
@@ -16,7 +16,7 @@
   type UpstreamRecord,
 } from './records.js'
 
-/** Fields of a newer version are refused, here as in all that is stored: what they change would be lost. */
+/** Rejects unknown fields, as all stored schemas do: dropping a field of a newer version would lose its effect. */
 export const batchSnapshotSchema = z.strictObject({
   config: clusterConfigSchema.optional(),
   jobs: z.array(jobRecordSchema),
@@ -25,8 +25,11 @@
 })
 export type BatchSnapshot = z.infer<typeof batchSnapshotSchema>
 
-/** The description that is kept comes from a later announcement: an upstream's room may have shrunk meanwhile. */
-export function isLateAnnouncement(
+/**
+ * Whether the stored description comes from a newer announcement than `sequence`. Announcements may arrive out of order,
+ * and an older one may state capacity that the upstream no longer has.
+ */
+export function isStaleAnnouncement(
   known: UpstreamRecord | undefined,
   sequence: number | undefined,
 ): boolean {
@@ -37,7 +40,7 @@
 export class BatchState {
   config: ClusterConfig | undefined
   readonly jobs = new Map<string, JobRecord>()
-  /** Jobs that may still have something to run or to stop. */
+  /** Jobs that are active or still have placed runs, by job id. */
   readonly unsettled = new Map<string, JobRecord>()
   readonly upstreams = new Map<string, UpstreamRecord>()
   readonly placements = new PlacementIndex()
@@ -53,7 +56,7 @@
     for (const job of snapshot.jobs) {
       state.jobs.set(job.request.jobId, job)
       state.placements.addJob(job)
-      state.#settle(job)
+      state.#updateUnsettled(job)
     }
     return state
   }
@@ -105,15 +108,15 @@
   #submitJob({ request, workspace, queueName }: CommandOf<'submit-job'>): CommandOutcome {
     const known = this.jobs.get(request.jobId)
     if (known !== undefined) {
-      const same = known.workspace === workspace && isDeepStrictEqual(known.request, request)
-      return same ? 'unchanged' : 'conflict'
+      const isSame = known.workspace === workspace && isDeepStrictEqual(known.request, request)
+      return isSame ? 'unchanged' : 'conflict'
     }
     const queue = this.config?.queues.find(({ name }) => name === queueName)
     if (queue === undefined) return 'unknown-queue'
     this.#acceptedJobs += 1
     const job = createJobRecord({ request, workspace, queue, number: this.#acceptedJobs })
     this.jobs.set(request.jobId, job)
-    this.#settle(job)
+    this.#updateUnsettled(job)
     return 'done'
   }
 
@@ -122,11 +125,11 @@
     if (job === undefined) return 'unknown-job'
     if (job.status !== 'active') return 'unchanged'
     job.status = 'cancelled'
-    this.#settle(job)
+    this.#updateUnsettled(job)
     return 'done'
   }
 
-  /** Takes each placement whose task still waits and whose attempt is the next one. */
+  /** Applies each placement whose task is waiting and whose attempt is newer than the last; skips the others. */
   #placeTasks({ placements }: CommandOf<'place-tasks'>): CommandOutcome {
     for (const placement of placements) {
       const job = this.jobs.get(placement.jobId)
@@ -143,26 +146,26 @@
   }
 
   /**
-   * Touches only what an end touches: listing all of a job's runs for each of its ends would take most of the time in
-   * which a member that starts again applies its log.
+   * Updates the index only for the placements that each end removes. Listing all runs of the job for every end
+   * would dominate the time in which a restarting member replays its log.
    */
   #endRuns(ends: readonly RunEnd[]): CommandOutcome {
     let outcome: CommandOutcome = 'unchanged'
     for (const end of ends) {
       const job = this.jobs.get(end.jobId)
       if (job === undefined) continue
-      const over = endRun(job, end)
-      if (over.length === 0) continue
+      const endedPlacements = endRun(job, end)
+      if (endedPlacements.length === 0) continue
       outcome = 'done'
-      for (const placement of over) this.placements.remove(placement)
-      this.#settle(job)
+      for (const placement of endedPlacements) this.placements.remove(placement)
+      this.#updateUnsettled(job)
     }
     return outcome
   }
 
   #noteUpstream({ description, sequence }: CommandOf<'note-upstream'>): CommandOutcome {
     const known = this.upstreams.get(description.upstreamId)
-    if (isLateAnnouncement(known, sequence)) return 'unchanged'
+    if (isStaleAnnouncement(known, sequence)) return 'unchanged'
     this.upstreams.set(description.upstreamId, {
       description,
       ...(sequence === undefined ? {} : { sequence }),
@@ -180,15 +183,15 @@
   }
 
   #forgetUpstream(upstreamId: string): void {
-    if (this.placements.on(upstreamId).size === 0) this.upstreams.delete(upstreamId)
+    if (this.placements.getByUpstream(upstreamId).size === 0) this.upstreams.delete(upstreamId)
   }
 
   #forgetJob(jobId: string): void {
     if (!this.unsettled.has(jobId)) this.jobs.delete(jobId)
   }
 
-  /** Keeps the job among the unsettled ones for as long as it may run, or has something placed. */
-  #settle(job: JobRecord): void {
+  /** Adds the job to `unsettled` while it is active or has placed runs, and removes it otherwise. */
+  #updateUnsettled(job: JobRecord): void {
     const { jobId } = job.request
     const isOpen = job.status === 'active' || hasPlacements(job)
     if (isOpen) this.unsettled.set(jobId, job)
--- a/batch/state/src/endRun.ts
+++ b/batch/state/src/endRun.ts
@@ -1,16 +1,17 @@
-/** What the end of one run changes in its job. */
+/** Applies the end of one run to its job record. */
 import type { Placement, RunEnd } from './command.js'
 import { countCrash } from './crashRecord.js'
 import { findFailure } from './findFailure.js'
 import { listStepPlacements } from './placementIndex.js'
 import type { JobRecord, StepRecord, TaskRecord } from './records.js'
 
-/** Of an end that does not say who brought its upstream down. */
-const unknownBlame = 'suspected'
+/** Blame of a `crashed` end that carries none. */
+const defaultBlame = 'suspected'
 
 /**
- * The placements that are over with it: of a gang that is done all members. None where the run is not the one that
- * is placed: its end was taken in before, or never counted.
+ * Updates the job record and returns the placements that the end removes: all members if a gang is done, else the one
+ * run. Returns none, and changes nothing, if the run is not currently placed: its end was applied before, or the task
+ * is placed under another attempt or on another upstream.
  */
 export function endRun(job: JobRecord, end: RunEnd): Placement[] {
   const step = job.steps[end.step]
@@ -19,17 +20,17 @@
   if (task.phase !== 'placed' || task.attempt !== end.attempt) return []
   if (task.upstreamId !== end.upstreamId) return []
   const isGang = job.request.steps[end.step]?.isGang === true
-  const over =
+  const endedPlacements =
     isGang && end.outcome === 'done' ? listStepPlacements(job, end.step) : [toPlacement(end)]
-  release(task)
+  releaseTask(task)
   if (end.outcome === 'crashed') {
-    const { attempt, blame = unknownBlame } = end
+    const { attempt, blame = defaultBlame } = end
     task.crashes = countCrash(task.crashes, { attempt, blame })
   }
   if (isGang) endGangMember(step, task, end)
   else endTask(task, end)
-  if (job.status === 'active') judge(job)
-  return over
+  if (job.status === 'active') updateJobStatus(job)
+  return endedPlacements
 }
 
 function toPlacement({ jobId, step, index, attempt, upstreamId }: RunEnd): Placement {
@@ -45,12 +46,12 @@
   if (checkpoint !== undefined && checkpoint !== '') task.checkpoint = checkpoint
 }
 
-/** One member that is done stands for all; any other end is the end of the attempt for all. */
+/** The first member to finish completes the gang; any other outcome ends the attempt for all members. */
 function endGangMember(step: StepRecord, task: TaskRecord, end: RunEnd): void {
   const { outcome, attempt, checkpoint, upstreamId } = end
   if (outcome === 'done') {
     step.tasks.forEach((member) => {
-      release(member)
+      releaseTask(member)
       member.phase = 'done'
     })
     return
@@ -61,7 +62,7 @@
   }
   step.endedGangAttempt = Math.max(step.endedGangAttempt, attempt)
   if (checkpoint === undefined || checkpoint === '') return
-  // Any member's checkpoint holds for the gang, and all members must resume from the same one.
+  // A checkpoint of any member is valid for the gang, and all members must resume from the same one.
   for (const member of step.tasks) member.checkpoint = checkpoint
 }
 
@@ -71,12 +72,12 @@
   step.gangFailures += 1
 }
 
-function release(task: TaskRecord): void {
+function releaseTask(task: TaskRecord): void {
   task.phase = 'waiting'
   delete task.upstreamId
 }
 
-function judge(job: JobRecord): void {
+function updateJobStatus(job: JobRecord): void {
   const failure = findFailure(job)
   if (failure !== undefined) {
     job.status = 'failed'
--- a/batch/state/src/findFailure.ts
+++ b/batch/state/src/findFailure.ts
@@ -1,21 +1,21 @@
-/** Why a job is to be given up, if it is. */
+/** Decides whether a job must be given up, and why. */
 import { isPoison } from './crashRecord.js'
 import type { JobFailure, JobRecord, StepRecord } from './records.js'
 
-/** The first reason found; undefined while the job may go on. */
+/** Returns the first reason found, or undefined if the job may continue. */
 export function findFailure({ queue, request, steps }: JobRecord): JobFailure | undefined {
   for (const [step, record] of steps.entries()) {
     const isGang = request.steps[step]?.isGang === true
     if (isGang && record.gangFailures >= queue.attemptsMax) {
       return { reason: 'attempts-used-up', step }
     }
-    const found = judgeTasks(record, queue.attemptsMax)
+    const found = findTaskFailure(record, queue.attemptsMax)
     if (found !== undefined) return { ...found, step }
   }
   return undefined
 }
 
-function judgeTasks(
+function findTaskFailure(
   { tasks }: StepRecord,
   attemptsMax: number,
 ): Pick<JobFailure, 'reason' | 'index'> | undefined {
