--- a/batch/service/__utils__/fakeFleet.ts
+++ b/batch/service/__utils__/fakeFleet.ts
@@ -75,7 +75,7 @@
   commit(command: Command): CommandOutcome {
     const outcome = this.state.apply(command)
     this.#jobClock.noteApplied(command, this.state, this.clock.monotonicMs())
-    this.#leader?.noteChange(command)
+    this.#leader?.handleAppliedCommand(command)
     return outcome
   }
 
--- a/batch/service/src/judgeCall.ts
+++ b/batch/service/src/authorizeCall.ts
@@ -8,20 +8,21 @@
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { QueueCall } from './batchApi.js'
 
-export interface Authorized {
+export interface AuthorizedCall {
   readonly queue: QueueConfig
   /** Empty for a call without a key on a queue that asks for none. */
   readonly workspace: string
 }
 
 /** `rest` is what must follow the queue's prefix. Errors: gives `unknown-route` and `unauthorized`. */
-export function judgeCall(
+export function authorizeCall(
   config: ClusterConfig,
   call: QueueCall,
-  rest: string,
-): Authorized | NettlespurError {
+  pathSuffix: string,
+): AuthorizedCall | NettlespurError {
   const queue = findQueue(config, call)
-  if (queue === undefined || call.path !== queue.pathPrefix + rest) return createUnknownQueue(call)
+  if (queue === undefined || call.path !== queue.pathPrefix + pathSuffix)
+    return createUnknownRouteError(call)
   const workspace = findWorkspace(config, call.key)
   if (workspace === undefined && !queue.anonymous) {
     return new NettlespurError('unauthorized', `the key is not one of queue ${queue.name}`)
@@ -29,6 +30,6 @@
   return { queue, workspace: workspace?.name ?? '' }
 }
 
-export function createUnknownQueue({ host, path }: QueueCall): NettlespurError {
+export function createUnknownRouteError({ host, path }: QueueCall): NettlespurError {
   return new NettlespurError('unknown-route', `no queue at ${host}${path}`)
 }
--- a/batch/service/src/batchLeader.ts
+++ b/batch/service/src/batchLeader.ts
@@ -22,11 +22,11 @@
 import { isDeepStrictEqual } from 'node:util'
 import type { BatchTimings } from './batchTimings.js'
 import type { JobClock } from './jobClock.js'
-import { listTouchedJobs } from './listTouchedJobs.js'
+import { listAffectedJobs } from './listAffectedJobs.js'
 import type { Propose } from './proposer.js'
-import { RecordFaults } from './recordFaults.js'
+import { RecordFaultReporter } from './recordFaultReporter.js'
 import { listActiveJobs, reportEnds } from './reportEnds.js'
-import { RetryPauses } from './retryPauses.js'
+import { RetryBackoff } from './retryBackoff.js'
 import { SchedulingRounds } from './schedulingRounds.js'
 import { UpstreamRoster } from './upstreamRoster.js'
 
@@ -46,24 +46,24 @@
 export class BatchLeader extends SessionHost {
   readonly fence: number
   readonly #opts: BatchLeaderOptions
-  readonly #ending = new AbortController()
+  readonly #stopController = new AbortController()
   readonly #roster: UpstreamRoster
   readonly #preempted = new Set<string>()
   readonly #rounds: SchedulingRounds
-  readonly #faults: RecordFaults
-  readonly #retryPauses = new RetryPauses()
+  readonly #faultReporter: RecordFaultReporter
+  readonly #retryBackoff = new RetryBackoff()
 
   constructor(opts: BatchLeaderOptions) {
     super()
     this.#opts = opts
     this.fence = opts.term
-    this.#faults = new RecordFaults(opts)
-    const { signal } = this.#ending
+    this.#faultReporter = new RecordFaultReporter(opts)
+    const { signal } = this.#stopController
     this.#roster = new UpstreamRoster({ ...opts, host: this, signal })
     this.#rounds = new SchedulingRounds({
       ...opts,
       roster: this.#roster,
-      retryPauses: this.#retryPauses,
+      retryBackoff: this.#retryBackoff,
       shouldStop: (placement) => this.shouldStop(placement),
       preempt: (runs) => {
         this.#preempt(runs)
@@ -85,10 +85,10 @@
     const inheritedUpstreams = [...placements.upstreamIds].length
     const held = { inheritedUpstreams, upstreams: upstreams.size, unsettledJobs: unsettled.size }
     this.#opts.logger.info({ event: 'leader.started', term: this.fence, ...held })
-    void this.#decideAfterTakeover()
+    void this.#scheduleAfterTakeover()
   }
 
-  async #decideAfterTakeover(): Promise<void> {
+  async #scheduleAfterTakeover(): Promise<void> {
     const { clock, logger } = this.#opts
     const begunAtMs = clock.monotonicMs()
     await this.#roster.takeOver(this.#state)
@@ -99,38 +99,38 @@
   }
 
   stop(): void {
-    this.#ending.abort()
+    this.#stopController.abort()
     this.#opts.logger.info({ event: 'leader.stopped', term: this.fence })
   }
 
   /** To be called after each applied command. */
-  noteChange(command: Command): void {
-    for (const jobId of listTouchedJobs(command)) {
+  handleAppliedCommand(command: Command): void {
+    for (const jobId of listAffectedJobs(command)) {
       const job = this.findJob(jobId)
-      if (job !== undefined) this.#review(listPlacements(job))
+      if (job !== undefined) this.#requestStops(listPlacements(job))
     }
     // What a round placed leaves no more room for the next one.
-    if (command.type !== 'place-tasks') this.#rounds.request()
+    if (command.type !== 'place-tasks') this.#rounds.requestRound()
   }
 
   /** Resolves once control has what matters of it. Errors: rejects as proposals do. */
   async announce(announcement: Announcement): Promise<void> {
     const { upstreamId, isDraining, drainRemainingMs } = announcement
     const known = this.#state.upstreams.get(upstreamId)
-    if (known?.hasLeft === true || !this.#isOfKnownPool(announcement)) return
+    if (known?.hasLeft === true || !this.#isPoolKnown(announcement)) return
     if (isLateAnnouncement(known, announcement.sequence)) return
     const wasUsable = this.#isUsable(upstreamId)
-    if (!this.#roster.note(announcement)) return
+    if (!this.#roster.recordAnnouncement(announcement)) return
     const description = toDescription(announcement)
     if (known === undefined || !isDeepStrictEqual(known.description, description)) {
       await this.#propose({ type: 'note-upstream', description, sequence: announcement.sequence })
     }
-    this.#roster.noteClock(announcement)
+    this.#roster.recordClock(announcement)
     if (isDraining && known?.isDraining !== true) {
       this.#opts.logger.info({ event: 'upstream.draining', upstreamId, drainRemainingMs })
       await this.#propose({ type: 'drain-upstream', upstreamId })
     }
-    if (this.#isUsable(upstreamId) !== wasUsable) this.#rounds.request()
+    if (this.#isUsable(upstreamId) !== wasUsable) this.#rounds.requestRound()
   }
 
   async leave(upstreamId: string): Promise<void> {
@@ -166,7 +166,7 @@
       this.#preempted.delete(runKey(end))
       const address = this.findUpstream(end.upstreamId)?.description.address
       this.#roster.health.noteEnd(end, address, nowMs)
-      this.#retryPauses.noteEnd(end, nowMs)
+      this.#retryBackoff.noteEnd(end, nowMs)
     }
     return true
   }
@@ -190,12 +190,12 @@
    * An upstream of a pool that was dropped still says when it leaves. Any other pool that is not configured is of
    * another writer, or not configured yet: the upstream is heard again soon, and until then it changes nothing.
    */
-  #isOfKnownPool({ upstreamId, pool }: Announcement): boolean {
+  #isPoolKnown({ upstreamId, pool }: Announcement): boolean {
     const { config } = this.#state
     if (config === undefined || config.pools.some(({ name }) => name === pool)) return true
     if (this.findUpstream(upstreamId)?.description.pool === pool) return true
     const reason = `pool ${pool} is not configured`
-    this.#faults.note({ kind: 'unknown-pool', sender: upstreamId, reason })
+    this.#faultReporter.report({ kind: 'unknown-pool', sender: upstreamId, reason })
     return false
   }
 
@@ -204,8 +204,8 @@
   }
 
   /** Has the sessions stop those of the runs that are to be stopped. */
-  #review(runs: readonly Placement[]): void {
-    for (const run of runs) this.#roster.find(run.upstreamId)?.review(run)
+  #requestStops(runs: readonly Placement[]): void {
+    for (const run of runs) this.#roster.findSession(run.upstreamId)?.review(run)
   }
 
   #isUsable(upstreamId: string): boolean {
@@ -231,6 +231,6 @@
   /** Has the runs stopped, and their gangs with them. */
   #preempt(runs: readonly Placement[]): void {
     for (const run of runs) this.#preempted.add(runKey(run))
-    this.#review(runs)
+    this.#requestStops(runs)
   }
 }
--- a/batch/service/src/batchNode.ts
+++ b/batch/service/src/batchNode.ts
@@ -22,7 +22,7 @@
 import type { MetricsRegistry } from '@nettlespur/core.metrics'
 import type { LogStore } from '@nettlespur/storage.log'
 import type { BatchApi, LeaderView } from './batchApi.js'
-import { BatchCalls } from './batchCalls.js'
+import { LeaderApi } from './leaderApi.js'
 import { BatchLeader } from './batchLeader.js'
 import { JobClock } from './jobClock.js'
 import type { BatchTimings } from './batchTimings.js'
@@ -67,7 +67,7 @@
     this.#opts = opts
     this.raft = raft
     this.#machine = machine
-    this.calls = new BatchCalls({
+    this.calls = new LeaderApi({
       clock: opts.clock,
       raft,
       getState: () => this.#state,
@@ -77,10 +77,10 @@
     })
     machine.applied.subscribe((command) => {
       this.#jobClock.noteApplied(command, this.#state, opts.clock.monotonicMs())
-      this.#leader?.noteChange(command)
+      this.#leader?.handleAppliedCommand(command)
     })
     raft.standing.subscribe((standing) => {
-      this.#follow(standing)
+      this.#handleStanding(standing)
     })
   }
 
@@ -133,28 +133,28 @@
     return this.#machine.state
   }
 
-  #follow({ role, term }: Standing): void {
-    if (role === 'leader') void this.#lead(term)
-    else this.#endLeading()
+  #handleStanding({ role, term }: Standing): void {
+    if (role === 'leader') void this.#startLeading(term)
+    else this.#stopLeading()
   }
 
-  #endLeading(): void {
+  #stopLeading(): void {
     this.#leader?.stop()
     this.#leader = undefined
   }
 
   /** Nothing is answered or decided before all that was committed earlier is applied. */
-  async #lead(term: number): Promise<void> {
+  async #startLeading(term: number): Promise<void> {
     const ready = await this.raft.readBarrier().run()
     const { role, term: nowTerm } = this.raft.describe()
     if (role !== 'leader' || nowTerm !== term) return
     if (ready.isLeft()) {
       this.#opts.logger.warn({ event: 'leader.not-ready', term, reason: String(ready.extract()) })
       await this.#opts.clock.sleep(retryAfterMs)
-      return this.#lead(term)
+      return this.#startLeading(term)
     }
     const { clock, logger, metrics, port, timings } = this.#opts
-    this.#endLeading()
+    this.#stopLeading()
     this.#leader = new BatchLeader({
       term,
       clock,
--- a/batch/service/src/buildView.ts
+++ b/batch/service/src/buildSchedulerView.ts
@@ -16,7 +16,7 @@
 const milliseconds = 1000
 const wholePercent = 100
 /** Below it, a start-up that took long would count for the whole run. */
-const meaningfulPercent = 20
+const minProgressPercent = 20
 
 export interface ListRunsOptions {
   state: BatchState
@@ -25,7 +25,7 @@
   findTrack: (placement: Placement) => RunTrack | undefined
 }
 
-export interface BuildViewOptions extends ListRunsOptions {
+export interface BuildSchedulerViewOptions extends ListRunsOptions {
   acceptedAtMs: ReadonlyMap<string, number>
   isUsable: (upstream: UpstreamRecord) => boolean
   /** A run on trial has just started there. */
@@ -36,7 +36,7 @@
   isPaused: (task: TaskRef) => boolean
 }
 
-export function buildView(opts: BuildViewOptions): SchedulerView {
+export function buildSchedulerView(opts: BuildSchedulerViewOptions): SchedulerView {
   const { state, nowMs, acceptedAtMs } = opts
   let runs: readonly ActiveRun[] | undefined
   const usable = [...state.upstreams.values()].filter((upstream) => opts.isUsable(upstream))
@@ -58,7 +58,7 @@
   }
 }
 
-function buildRoom(opts: BuildViewOptions, upstream: UpstreamRecord): UpstreamRoom {
+function buildRoom(opts: BuildSchedulerViewOptions, upstream: UpstreamRecord): UpstreamRoom {
   const { upstreamId, pool, rack, labels, capacity } = upstream.description
   const known = { upstreamId, pool, rack, labels, capacity }
   if (opts.hasTrial(upstream)) {
@@ -108,7 +108,7 @@
   if (track === undefined) return nowMs + declaredMs
   const { startedAtMs, progressPercent } = track
   const declaredEndMs = Math.max(nowMs, startedAtMs + declaredMs)
-  if (progressPercent < meaningfulPercent) return declaredEndMs
+  if (progressPercent < minProgressPercent) return declaredEndMs
   const elapsedMs = nowMs - startedAtMs
   return nowMs + (elapsedMs * (wholePercent - progressPercent)) / progressPercent
 }
--- a/batch/service/src/callLog.ts
+++ b/batch/service/src/callLog.ts
@@ -39,17 +39,17 @@
     this.#writeSummaries()
   }
 
-  note(
+  record(
     operation: Operation<unknown>,
     trace: CallTrace,
     leaderAddress: string | undefined,
     error?: NettlespurError,
   ): void {
-    const { name: call, subject, sort } = operation
+    const { name: call, subject, kind } = operation
     const outcome = error?.kind ?? 'done'
-    this.#record(operation, trace, outcome)
-    if (error === undefined && sort === 'repeated') return
-    if (sort === 'read' && error === undefined && !this.#mayWriteSlow(trace)) {
+    this.#recordMetrics(operation, trace, outcome)
+    if (error === undefined && kind === 'repeated') return
+    if (kind === 'read' && error === undefined && !this.#claimSlowLine(trace)) {
       this.#summarise(call, subject, trace)
       return
     }
@@ -58,18 +58,18 @@
     this.#opts.logger.info({ ...base, ...trace.describe(), reason })
   }
 
-  #record({ name }: Operation<unknown>, trace: CallTrace, outcome: string): void {
+  #recordMetrics({ name }: Operation<unknown>, trace: CallTrace, outcome: string): void {
     const { metrics } = this.#opts
     const call = name.replaceAll('-', '_')
     metrics.recordMs(`call_${call}_ms`, trace.tookMs)
     metrics.count(`calls_${call}_${outcome.replaceAll('-', '_')}_total`)
     if (trace.searchMs > 0) metrics.recordMs(`call_${call}_search_ms`, trace.searchMs)
-    if (trace.callerIsGone) metrics.count(`calls_${call}_caller_gone_total`)
+    if (trace.isCallerGone) metrics.count(`calls_${call}_caller_gone_total`)
   }
 
   /** A caller that is gone did not get its answer, however fast it was. */
-  #mayWriteSlow(trace: CallTrace): boolean {
-    if (trace.tookMs < slowReadMs && !trace.callerIsGone) return false
+  #claimSlowLine(trace: CallTrace): boolean {
+    if (trace.tookMs < slowReadMs && !trace.isCallerGone) return false
     this.#startTimer()
     this.#slowLines += 1
     return this.#slowLines <= slowLinesMax
--- a/batch/service/src/callTrace.ts
+++ b/batch/service/src/callTrace.ts
@@ -4,7 +4,7 @@
 import type { CallerWait } from './callerWait.js'
 
 /** What was known of a member when it was called as the leader. */
-export interface Belief {
+export interface LeaderBelief {
   readonly address: string
   /** Since it was first believed to lead. */
   readonly ageMs: number
@@ -24,10 +24,10 @@
   readonly #startMs: number
   readonly #wait: CallerWait
   readonly #attempts: StartedAttempt[] = []
-  #belief: Belief | undefined
+  #firstBelief: LeaderBelief | undefined
   #searches = 0
   #searchMs = 0
-  #openSearches = 0
+  #runningSearches = 0
 
   constructor(clock: Clock, wait: CallerWait) {
     this.#clock = clock
@@ -47,34 +47,34 @@
     return this.#wait.deadlineMs
   }
 
-  get callerIsGone(): boolean {
+  get isCallerGone(): boolean {
     return this.#wait.gone?.aborted === true
   }
 
   /** A try of the call waits for a leader to be found. */
   get isSearching(): boolean {
-    return this.#openSearches > 0
+    return this.#runningSearches > 0
   }
 
-  async search<T>(run: () => Promise<T>): Promise<T> {
+  async trackSearch<T>(run: () => Promise<T>): Promise<T> {
     const startMs = this.#clock.monotonicMs()
     this.#searches += 1
-    this.#openSearches += 1
+    this.#runningSearches += 1
     try {
       return await run()
     } finally {
-      this.#openSearches -= 1
+      this.#runningSearches -= 1
       this.#searchMs += this.#clock.monotonicMs() - startMs
     }
   }
 
   /** A call of a member begins; gives what is to be told its outcome. The log shows the first one's belief. */
-  startAttempt(belief: Belief): (outcome: string) => void {
+  startAttempt(belief: LeaderBelief): (outcome: string) => void {
     const attempt = { address: belief.address, startMs: this.#clock.monotonicMs(), end: '' }
-    this.#belief ??= belief
+    this.#firstBelief ??= belief
     this.#attempts.push(attempt)
     return (outcome) => {
-      attempt.end = `${outcome}@${attempt.address}+${this.#since(attempt.startMs)}ms`
+      attempt.end = `${outcome}@${attempt.address}+${this.#elapsedMs(attempt.startMs)}ms`
     }
   }
 
@@ -83,9 +83,9 @@
     return {
       tookMs: Math.round(this.tookMs),
       deadlineMs: this.#wait.deadlineMs,
-      callerIsGone: this.callerIsGone ? true : undefined,
-      beliefAgeMs: round(this.#belief?.ageMs),
-      leaderQuietMs: round(this.#belief?.quietMs),
+      callerIsGone: this.isCallerGone ? true : undefined,
+      beliefAgeMs: round(this.#firstBelief?.ageMs),
+      leaderQuietMs: round(this.#firstBelief?.quietMs),
       searches: this.#searches,
       searchMs: Math.round(this.#searchMs),
       attempts: this.#attempts.length,
@@ -96,11 +96,11 @@
   /** A call without an outcome yet is `open`. */
   #listEnds(): string[] {
     return this.#attempts.map(({ address, startMs, end }) => {
-      return end === '' ? `open@${address}+${this.#since(startMs)}ms` : end
+      return end === '' ? `open@${address}+${this.#elapsedMs(startMs)}ms` : end
     })
   }
 
-  #since(startMs: number): number {
+  #elapsedMs(startMs: number): number {
     return Math.round(this.#clock.monotonicMs() - startMs)
   }
 }
--- a/batch/service/src/describeStep.ts
+++ b/batch/service/src/describeStep.ts
@@ -5,7 +5,7 @@
 export function describeStep(step: StepSpec): string {
   const { taskCount, needs, expectedRunTimeMs } = step
   const size = `${needs.cpuMillicores}m/${needs.memoryMiB}MiB/${needs.accelerators}`
-  const marks = [
+  const flags = [
     ...(step.isGang ? ['gang'] : []),
     ...(step.prefersOneRack ? ['rack'] : []),
     ...(step.checkpoints ? ['checkpoints'] : []),
@@ -14,5 +14,5 @@
     ...(step.tasksPerUpstreamMax === undefined ? [] : [`apart=${step.tasksPerUpstreamMax}`]),
     ...(step.dependsOn.length === 0 ? [] : [`after=${step.dependsOn.join('+')}`]),
   ]
-  return [`${taskCount}x${size}`, `${expectedRunTimeMs}ms`, ...marks].join(';')
+  return [`${taskCount}x${size}`, `${expectedRunTimeMs}ms`, ...flags].join(';')
 }
--- a/batch/service/src/drawSearchPauseMs.ts
+++ b/batch/service/src/drawSearchPauseMs.ts
@@ -4,15 +4,15 @@
  * In an outage of 6 s a process with callers searches at most 45 times, its idle looks included: 97 processes cost
  * each member 730 small calls a second at most, answered from memory.
  */
-import { electionsMs } from './leaderOutage.js'
+import { electionWindowMs } from './leaderOutage.js'
 
-const soonPauseMs = 150
-const latePauseMs = 400
+const electionPauseMs = 150
+const longOutagePauseMs = 400
 /** Pauses are drawn from this share of their length up to the whole. */
-const leastShare = 0.6
+const minPauseShare = 0.6
 
 /** `random` is a number in [0, 1). */
 export function drawSearchPauseMs(outageMs: number, random: number): number {
-  const lengthMs = outageMs < electionsMs ? soonPauseMs : latePauseMs
-  return lengthMs * (leastShare + (1 - leastShare) * random)
+  const lengthMs = outageMs < electionWindowMs ? electionPauseMs : longOutagePauseMs
+  return lengthMs * (minPauseShare + (1 - minPauseShare) * random)
 }
--- a/batch/service/src/firstSeen.ts
+++ b/batch/service/src/firstSeenTimes.ts
@@ -1,5 +1,5 @@
 /** When each of a changing set of ids was first seen, on the clock of its user. */
-export class FirstSeen {
+export class FirstSeenTimes {
   readonly #atMs = new Map<string, number>()
 
   /** Takes in new ids and forgets those that are no longer among them. */
@@ -13,7 +13,7 @@
   }
 
   /** Ids that were first seen at least this long ago. */
-  listOld(ageMs: number, nowMs: number): string[] {
+  listOlderThan(ageMs: number, nowMs: number): string[] {
     return [...this.#atMs].flatMap(([id, atMs]) => (nowMs - atMs >= ageMs ? [id] : []))
   }
 }
--- a/batch/service/src/index.ts
+++ b/batch/service/src/index.ts
@@ -7,15 +7,15 @@
   type SubmitCall,
 } from './batchApi.js'
 export type { CallerWait } from './callerWait.js'
-export { buildView, type BuildViewOptions } from './buildView.js'
+export { buildSchedulerView, type BuildSchedulerViewOptions } from './buildSchedulerView.js'
 export { BatchNode, type BatchNodeOptions } from './batchNode.js'
 export type { BatchTimings } from './batchTimings.js'
 export { createBatchRouter, type BatchRouter } from './createBatchRouter.js'
 export { LeaderClient, type LeaderClientOptions } from './leaderClient.js'
 export {
-  RecordFaults,
+  RecordFaultReporter,
   type RecordFault,
   type RecordFaultKind,
-  type RecordFaultsOptions,
-} from './recordFaults.js'
+  type RecordFaultReporterOptions,
+} from './recordFaultReporter.js'
 export { UpstreamHealth } from './upstreamHealth.js'
--- a/batch/service/src/batchCalls.ts
+++ b/batch/service/src/leaderApi.ts
@@ -17,12 +17,12 @@
 import { BatchApi, type JobCall, type QueueCall, type SubmitCall } from './batchApi.js'
 import type { BatchLeader } from './batchLeader.js'
 import { describeStep } from './describeStep.js'
-import { createUnknownQueue, judgeCall, type Authorized } from './judgeCall.js'
+import { createUnknownRouteError, authorizeCall, type AuthorizedCall } from './authorizeCall.js'
 
 /** The first configuration comes within seconds of the first start. */
 const configRetryAfterMs = 500
 
-export interface BatchCallsOptions {
+export interface LeaderApiOptions {
   clock: Clock
   raft: RaftNode<CommandOutcome>
   getState: () => BatchState
@@ -32,10 +32,10 @@
   metrics: MetricsRegistry
 }
 
-export class BatchCalls extends BatchApi {
-  readonly #opts: BatchCallsOptions
+export class LeaderApi extends BatchApi {
+  readonly #opts: LeaderApiOptions
 
-  constructor(opts: BatchCallsOptions) {
+  constructor(opts: LeaderApiOptions) {
     super()
     this.#opts = opts
   }
@@ -57,7 +57,7 @@
         steps: request.steps.map(describeStep),
       })
       this.#opts.metrics.count(`jobs_submitted_${outcome}_total`)
-      if (outcome === 'unknown-queue') throw createUnknownQueue(call)
+      if (outcome === 'unknown-queue') throw createUnknownRouteError(call)
       if (outcome !== 'conflict') return null
       throw new NettlespurError('idempotency-conflict', `another job has the id ${jobId}`)
     })
@@ -89,8 +89,8 @@
       const { queue } = await this.#authorize(call, '')
       let pending = 0
       for (const job of this.#state.unsettled.values()) {
-        const waits = job.status === 'active' && !job.hasStarted
-        if (waits && job.queue.name === queue.name) pending += 1
+        const isPending = job.status === 'active' && !job.hasStarted
+        if (isPending && job.queue.name === queue.name) pending += 1
       }
       return pending
     })
@@ -166,11 +166,11 @@
   }
 
   /** What the state refuses is looked up again once it is sure to be the newest. */
-  async #authorize(call: QueueCall, rest: string): Promise<Authorized> {
-    const known = judgeCall(this.#requireConfig(), call, rest)
+  async #authorize(call: QueueCall, pathSuffix: string): Promise<AuthorizedCall> {
+    const known = authorizeCall(this.#requireConfig(), call, pathSuffix)
     if (!(known instanceof NettlespurError)) return known
     await this.#confirmRead()
-    const newest = judgeCall(this.#requireConfig(), call, rest)
+    const newest = authorizeCall(this.#requireConfig(), call, pathSuffix)
     if (newest instanceof NettlespurError) throw newest
     return newest
   }
--- a/batch/service/src/leaderClient.ts
+++ b/batch/service/src/leaderClient.ts
@@ -43,8 +43,8 @@
   }
 
   /** False while no member has answered for some seconds; true unless `watch` runs. */
-  get reachesMembers(): boolean {
-    return this.#watch.reachesMembers
+  get canReachMembers(): boolean {
+    return this.#watch.canReachMembers
   }
 
   /** Keeps the way to the leader fresh until `signal` is aborted. */
@@ -67,7 +67,7 @@
       {
         name: 'submit-job',
         subject: input.request.jobId,
-        sort: 'change',
+        kind: 'change',
         remote: (calls) => calls.submitJob.mutate(input),
         local: (api) => api.submitJob(input),
       },
@@ -80,7 +80,7 @@
       {
         name: 'cancel-job',
         subject: input.jobId,
-        sort: 'change',
+        kind: 'change',
         remote: (calls) => calls.cancelJob.mutate(input),
         local: (api) => api.cancelJob(input),
       },
@@ -96,7 +96,7 @@
       {
         name: 'get-job',
         subject: input.jobId,
-        sort: 'read',
+        kind: 'read',
         remote: (calls, limits) => calls.getJobState.mutate(input, limitCall(limits)),
         local: (api) => api.getJobState(input),
       },
@@ -112,7 +112,7 @@
       {
         name: 'count-pending',
         subject: input.path,
-        sort: 'read',
+        kind: 'read',
         remote: (calls, limits) => calls.countPending.mutate(input, limitCall(limits)),
         local: (api) => api.countPending(input),
       },
@@ -124,7 +124,7 @@
     return this.#runner.run({
       name: 'apply-config',
       subject: `version ${input.version}`,
-      sort: 'change',
+      kind: 'change',
       remote: (calls) => calls.applyConfig.mutate(input),
       local: (api) => api.applyConfig(input),
     })
@@ -134,7 +134,7 @@
     return this.#runner.run({
       name: 'read-config',
       subject: '',
-      sort: 'repeated',
+      kind: 'repeated',
       remote: (calls) => calls.readConfig.mutate(),
       local: (api) => api.readConfig(),
     })
@@ -144,7 +144,7 @@
     return this.#runner.run({
       name: 'announce',
       subject: input.upstreamId,
-      sort: 'repeated',
+      kind: 'repeated',
       patienceMs: announcePatienceMs,
       remote: (calls) => calls.announce.mutate(input),
       local: (api) => api.announce(input),
@@ -155,7 +155,7 @@
     return this.#runner.run({
       name: 'leave',
       subject: upstreamId,
-      sort: 'change',
+      kind: 'change',
       remote: (calls) => calls.leave.mutate({ upstreamId }),
       local: (api) => api.leave(upstreamId),
     })
@@ -165,7 +165,7 @@
     return this.#runner.run({
       name: 'join',
       subject: member.memberId,
-      sort: 'change',
+      kind: 'change',
       remote: (calls) => calls.join.mutate(member),
       local: (api) => api.join(member),
     })
--- a/batch/service/src/leaderFinder.ts
+++ b/batch/service/src/leaderFinder.ts
@@ -8,7 +8,7 @@
 import { setMaxListeners } from 'node:events'
 import { BehaviorSubject } from 'rxjs'
 import type { LeaderView } from './batchApi.js'
-import type { Belief } from './callTrace.js'
+import type { LeaderBelief } from './callTrace.js'
 import type { BatchRouter } from './createBatchRouter.js'
 import { drawSearchPauseMs } from './drawSearchPauseMs.js'
 import { LeaderOutage } from './leaderOutage.js'
@@ -20,7 +20,7 @@
  * Once a majority has answered and none of it leads, the others are given this long: a suspended leader never answers,
  * and each search would take the whole 300 ms while the next one is being elected. One that is slow is taken late.
  */
-const stragglersMs = 50
+const stragglerWaitMs = 50
 
 export interface LeaderFinderOptions {
   clock: Clock
@@ -43,22 +43,22 @@
   readonly #clients: MemberClients
   #seeds: readonly string[]
   #members: readonly string[] = []
-  readonly #believed = new BehaviorSubject<string | undefined>(undefined)
-  #believedMs = 0
+  readonly #leader = new BehaviorSubject<string | undefined>(undefined)
+  #leaderSinceMs = 0
   /** Of the belief, where a member named it with one. */
-  #term: number | undefined
+  #leaderTerm: number | undefined
   /** No other member's word brings these back; only the member's own does. */
   readonly #refuted = new RefutedClaims()
   readonly #closing = new AbortController()
-  #waiting = 0
-  #isSeeking = false
+  #waiters = 0
+  #isSearching = false
   /** When each member last answered. */
-  readonly #heardMs = new Map<string, number>()
-  #locating: Promise<void> | undefined
+  readonly #answeredAtMs = new Map<string, number>()
+  #searchDone: Promise<void> | undefined
   /** The one that runs. */
-  #search: LeaderSearch | undefined
+  #currentSearch: LeaderSearch | undefined
   /** When the last look at the leader ended. */
-  #lookedMs = -Infinity
+  #lastCheckMs = -Infinity
 
   constructor(opts: LeaderFinderOptions) {
     this.#opts = opts
@@ -70,7 +70,7 @@
 
   /** Who is believed to lead. */
   get leaderAddress(): string | undefined {
-    return this.#believed.value
+    return this.#leader.value
   }
 
   replaceSeeds(seeds: readonly string[]): void {
@@ -83,49 +83,49 @@
   }
 
   /** `reason` is for the log. */
-  believe(address: string | undefined, reason: string, term?: number): void {
+  setLeader(address: string | undefined, reason: string, term?: number): void {
     const before = this.leaderAddress
     if (before === address) return
-    this.#term = term
-    this.#believedMs = this.#opts.clock.monotonicMs()
+    this.#leaderTerm = term
+    this.#leaderSinceMs = this.#opts.clock.monotonicMs()
     if (address === undefined) this.outage.begin(before, reason)
     else this.outage.end(address, reason)
-    this.#believed.next(address)
+    this.#leader.next(address)
   }
 
   /** The member gave no answer, or one that denies that it leads and may name who does. */
-  deny(address: string, namedAddress: string | undefined, reason: string): void {
+  rejectLeader(address: string, namedAddress: string | undefined, reason: string): void {
     if (this.leaderAddress !== address || namedAddress === address) return
-    this.#refuted.add(address, this.#term)
-    const isNews = namedAddress !== undefined && !this.#refuted.knows(namedAddress)
-    this.believe(isNews ? namedAddress : undefined, reason)
+    this.#refuted.add(address, this.#leaderTerm)
+    const isCredible = namedAddress !== undefined && !this.#refuted.hasAddress(namedAddress)
+    this.setLeader(isCredible ? namedAddress : undefined, reason)
   }
 
   /** The leader as soon as one is found; undefined after `waitMs`, or once `unwanted` is aborted. */
   async awaitLeader(waitMs: number, unwanted?: AbortSignal): Promise<string | undefined> {
     const signal = AbortSignal.any([this.#closing.signal, ...(unwanted ? [unwanted] : [])])
-    this.#waiting += 1
-    void this.#seek()
+    this.#waiters += 1
+    void this.#searchWhileAwaited()
     const isFound = (address: string | undefined): boolean => address !== undefined
-    await waitFor(this.#opts.clock, this.#believed, isFound, { timeoutMs: waitMs, signal })
-    this.#waiting -= 1
+    await waitFor(this.#opts.clock, this.#leader, isFound, { timeoutMs: waitMs, signal })
+    this.#waiters -= 1
     return this.leaderAddress
   }
 
   /** One task however many wait: searches until a leader is found or nobody waits any more. */
-  async #seek(): Promise<void> {
-    if (this.#isSeeking) return
-    this.#isSeeking = true
+  async #searchWhileAwaited(): Promise<void> {
+    if (this.#isSearching) return
+    this.#isSearching = true
     const { signal } = this.#closing
     const { clock, random = Math.random } = this.#opts
     const isWanted = (): boolean =>
-      this.#waiting > 0 && this.leaderAddress === undefined && !signal.aborted
+      this.#waiters > 0 && this.leaderAddress === undefined && !signal.aborted
     while (isWanted()) {
-      await this.#locate()
-      const pauseMs = drawSearchPauseMs(this.outage.lastedMs, random())
+      await this.#joinSearch()
+      const pauseMs = drawSearchPauseMs(this.outage.durationMs, random())
       if (isWanted()) await clock.sleep(pauseMs, signal)
     }
-    this.#isSeeking = false
+    this.#isSearching = false
   }
 
   /**
@@ -133,109 +133,112 @@
    * itself no other's word counts for it. Its followers name a leader that is suspended for 700 ms more: in one such
    * outage six of eight processes believed them, and learned of the next leader 0.2 to 0.5 s after its election.
    */
-  doubt(address: string, sinceMs: number): void {
-    const heardMs = this.#heardMs.get(address) ?? -Infinity
-    if (heardMs <= sinceMs) this.deny(address, undefined, `${address} has been silent`)
+  suspectLeader(address: string, sinceMs: number): void {
+    const answeredAtMs = this.#answeredAtMs.get(address) ?? -Infinity
+    if (answeredAtMs <= sinceMs) this.rejectLeader(address, undefined, `${address} has been silent`)
   }
 
   /** What is known of a member before it is called. */
-  describeBelief(address: string): Belief {
+  describeBelief(address: string): LeaderBelief {
     const nowMs = this.#opts.clock.monotonicMs()
-    const heardMs = this.#heardMs.get(address) ?? this.#believedMs
-    return { address, ageMs: nowMs - this.#believedMs, quietMs: nowMs - heardMs }
+    const answeredAtMs = this.#answeredAtMs.get(address) ?? this.#leaderSinceMs
+    return { address, ageMs: nowMs - this.#leaderSinceMs, quietMs: nowMs - answeredAtMs }
   }
 
   /** The member answered, whatever it said. */
-  hear(address: string): void {
-    this.#heardMs.set(address, this.#opts.clock.monotonicMs())
+  recordAnswer(address: string): void {
+    this.#answeredAtMs.set(address, this.#opts.clock.monotonicMs())
   }
 
   /** The member did what only a leader does; it may have been doubted meanwhile. */
-  hearLeader(address: string): void {
-    this.hear(address)
-    if (this.leaderAddress === undefined) this.believe(address, 'it answered as the leader')
+  recordLeaderAnswer(address: string): void {
+    this.recordAnswer(address)
+    if (this.leaderAddress === undefined) this.setLeader(address, 'it answered as the leader')
   }
 
   /** Since any member answered, in milliseconds; undefined where none has yet. */
   get quietMs(): number | undefined {
-    const heardMs = Math.max(...this.#heardMs.values())
-    return heardMs === -Infinity ? undefined : this.#opts.clock.monotonicMs() - heardMs
+    const answeredAtMs = Math.max(...this.#answeredAtMs.values())
+    return answeredAtMs === -Infinity ? undefined : this.#opts.clock.monotonicMs() - answeredAtMs
   }
 
   /** Makes sure of a leader that has been quiet for `quietMs`. False where no member answers. */
   async refresh(quietMs: number): Promise<boolean> {
-    const sinceMs = this.#lookedMs
-    const isAnswered = await this.#look(quietMs)
-    this.#lookedMs = this.#opts.clock.monotonicMs()
+    const sinceMs = this.#lastCheckMs
+    const isAnswered = await this.#checkLeader(quietMs)
+    this.#lastCheckMs = this.#opts.clock.monotonicMs()
     // Answers that came after the look before had ended count too: a slow member is no silent one.
-    return isAnswered || [...this.#heardMs.values()].some((heardMs) => heardMs > sinceMs)
+    return (
+      isAnswered || [...this.#answeredAtMs.values()].some((answeredAtMs) => answeredAtMs > sinceMs)
+    )
   }
 
-  async #look(quietMs: number): Promise<boolean> {
+  async #checkLeader(quietMs: number): Promise<boolean> {
     const address = this.leaderAddress
     if (address !== undefined) {
       if (this.describeBelief(address).quietMs < quietMs) return true
-      const view = await this.#askMember(address)
+      const view = await this.#queryMember(address)
       if (view?.leaderAddress === address) return true
       const isDenied = view !== undefined && this.leaderAddress === address
-      if (isDenied) this.believe(undefined, 'it does not say that it leads')
+      if (isDenied) this.setLeader(undefined, 'it does not say that it leads')
     }
-    await this.#locate()
+    await this.#joinSearch()
     return false
   }
 
   /** Asks all members known; who comes meanwhile shares the search. */
-  #locate(): Promise<void> {
-    this.#locating ??= this.#askMembers().finally(() => {
-      this.#locating = undefined
+  #joinSearch(): Promise<void> {
+    this.#searchDone ??= this.#runSearch().finally(() => {
+      this.#searchDone = undefined
     })
-    return this.#locating
+    return this.#searchDone
   }
 
-  async #askMembers(): Promise<void> {
+  async #runSearch(): Promise<void> {
     const addresses = [...new Set([...this.#seeds, ...this.#members])]
     const search = new LeaderSearch(addresses)
-    this.#search = search
+    this.#currentSearch = search
     // A member that is down would cost 300 ms: a read on a silent connection 620 ms, not 320 (manual clock).
     let stragglers: Timer | undefined
     await new Promise<void>((resolve) => {
       const asked = addresses.map(async (address) => {
-        const view = await this.#askMember(address)
-        if (view !== undefined) search.note(address, view)
+        const view = await this.#queryMember(address)
+        if (view !== undefined) search.addView(address, view)
         if (search.isDecided) resolve()
-        if (search.hasMajority) stragglers ??= setDeadline(this.#opts.clock, stragglersMs, resolve)
+        if (search.hasMajority)
+          stragglers ??= setDeadline(this.#opts.clock, stragglerWaitMs, resolve)
       })
       void Promise.allSettled(asked).then(() => {
         resolve()
       })
     })
     stragglers?.cancel()
-    this.#search = undefined
-    this.outage.noteSearch(search.describe())
+    this.#currentSearch = undefined
+    this.outage.recordSearch(search.describe())
     // Nothing was learnt: who was believed to lead may be as slow as the others.
     if (search.isUnanswered) return
     const { memberAddresses } = search
     if (memberAddresses.length > 0) this.#members = memberAddresses
     const claim = search.findLeader((other) => this.#refuted.has(other))
-    this.believe(claim?.address, search.describe(), claim?.term)
+    this.setLeader(claim?.address, search.describe(), claim?.term)
   }
 
-  #askMember(address: string): Promise<LeaderView | undefined> {
-    return this.#clients.askLeader(address, (view) => {
-      this.hear(address)
-      if (view.leaderAddress === address) this.#takeOwnWord(address, view)
+  #queryMember(address: string): Promise<LeaderView | undefined> {
+    return this.#clients.queryLeader(address, (view) => {
+      this.recordAnswer(address)
+      if (view.leaderAddress === address) this.#acceptSelfClaim(address, view)
     })
   }
 
   /** It may come after the search that asked for it: then it counts for the one that runs, or by itself. */
-  #takeOwnWord(address: string, view: LeaderView): void {
-    if (this.#search !== undefined) this.#search.note(address, view)
+  #acceptSelfClaim(address: string, view: LeaderView): void {
+    if (this.#currentSearch !== undefined) this.#currentSearch.addView(address, view)
     else if (this.leaderAddress === undefined)
-      this.believe(address, 'it says late that it leads', view.term)
+      this.setLeader(address, 'it says late that it leads', view.term)
   }
 
   /** The connection to one member. */
-  client(address: string): RpcClient<BatchRouter> {
+  getClient(address: string): RpcClient<BatchRouter> {
     return this.#clients.get(address)
   }
 }
--- a/batch/service/src/leaderOutage.ts
+++ b/batch/service/src/leaderOutage.ts
@@ -11,17 +11,17 @@
  * An election takes 0.7 to 1.1 s from the leader's last word, and a second one follows where the first found no
  * majority. A call that comes before may still be answered; what lasts longer waits for a restart or the end of a cut.
  */
-export const electionsMs = 2000
+export const electionWindowMs = 2000
 /** A search that ended longer ago says nothing of now. */
-const freshMs = 1000
+const searchFreshMs = 1000
 /** Most elections are over by then. */
-const soonMs = 500
+const retryAfterMsMin = 500
 /** An outage beyond an election ends with a restart or a cut; asking again is cheap, and an answer late is not. */
-const latestMs = 2000
+const retryAfterMsMax = 2000
 /** Callers that are refused in the same moment come back spread over this share of their wait. */
-const spreadShare = 0.4
+const jitterShare = 0.4
 /** The log tells of an outage after this long, and then each time it has lasted twice as long. */
-const firstLineMs = 1000
+const firstLogMs = 1000
 
 export interface LeaderOutageOptions {
   clock: Clock
@@ -35,7 +35,7 @@
   #sinceMs: number | undefined
   #searchedMs = -Infinity
   #searches = 0
-  #nextLineMs = firstLineMs
+  #nextLogMs = firstLogMs
 
   constructor(opts: LeaderOutageOptions) {
     this.#opts = opts
@@ -43,7 +43,7 @@
   }
 
   /** In milliseconds; 0 while a leader is known. */
-  get lastedMs(): number {
+  get durationMs(): number {
     return this.#sinceMs === undefined ? 0 : this.#opts.clock.monotonicMs() - this.#sinceMs
   }
 
@@ -51,44 +51,44 @@
     this.#sinceMs = this.#opts.clock.monotonicMs()
     this.#searchedMs = -Infinity
     this.#searches = 0
-    this.#nextLineMs = firstLineMs
+    this.#nextLogMs = firstLogMs
     this.#opts.logger.info({ event: 'leader.lost', leaderAddress, reason })
   }
 
   end(leaderAddress: string, reason: string): void {
-    const fields = { leaderAddress, reason, missingMs: Math.round(this.lastedMs) }
+    const fields = { leaderAddress, reason, missingMs: Math.round(this.durationMs) }
     this.#opts.logger.info({ event: 'leader.believed', ...fields, searches: this.#searches })
     this.#sinceMs = undefined
   }
 
   /** A search has ended; `heard` is for the log. */
-  noteSearch(heard: string): void {
+  recordSearch(heard: string): void {
     this.#searches += 1
     this.#searchedMs = this.#opts.clock.monotonicMs()
-    if (this.lastedMs < this.#nextLineMs) return
-    this.#nextLineMs = this.lastedMs * 2
-    const missingMs = Math.round(this.lastedMs)
+    if (this.durationMs < this.#nextLogMs) return
+    this.#nextLogMs = this.durationMs * 2
+    const missingMs = Math.round(this.durationMs)
     this.#opts.logger.warn({ event: 'leader.missing', missingMs, searches: this.#searches, heard })
   }
 
   /** A search has just found nobody, and the outage has lasted longer than elections do. */
   get isLong(): boolean {
-    const isFresh = this.#opts.clock.monotonicMs() - this.#searchedMs < freshMs
-    return this.#sinceMs !== undefined && isFresh && this.lastedMs > electionsMs
+    const isFresh = this.#opts.clock.monotonicMs() - this.#searchedMs < searchFreshMs
+    return this.#sinceMs !== undefined && isFresh && this.durationMs > electionWindowMs
   }
 
   /** What a caller is told whose call has not run. */
   createRefusal(): NettlespurError {
     return new NettlespurError('not-leader', 'no member leads', {
-      retryAfterMs: this.#adviseReturnMs(),
+      retryAfterMs: this.#computeRetryAfterMs(),
     })
   }
 
   /** As long again as half of the outage so far: what has lasted longer is expected to last longer. */
-  #adviseReturnMs(): number {
-    const expectedMs = Math.min(latestMs, this.lastedMs / 2)
-    if (expectedMs <= soonMs * 2) return soonMs
+  #computeRetryAfterMs(): number {
+    const expectedMs = Math.min(retryAfterMsMax, this.durationMs / 2)
+    if (expectedMs <= retryAfterMsMin * 2) return retryAfterMsMin
     const random = this.#opts.random ?? Math.random
-    return Math.round(expectedMs * (1 - spreadShare / 2 + spreadShare * random()))
+    return Math.round(expectedMs * (1 - jitterShare / 2 + jitterShare * random()))
   }
 }
--- a/batch/service/src/leaderSearch.ts
+++ b/batch/service/src/leaderSearch.ts
@@ -8,7 +8,7 @@
 export interface LeaderClaim {
   readonly address: string
   readonly term: number
-  readonly isOwnWord: boolean
+  readonly isSelfClaim: boolean
 }
 
 export class LeaderSearch {
@@ -19,7 +19,7 @@
     this.#asked = asked
   }
 
-  note(address: string, view: LeaderView): void {
+  addView(address: string, view: LeaderView): void {
     this.#views.set(address, view)
   }
 
@@ -50,15 +50,16 @@
   /** Named by the newest term that names one and was not refuted; `isRefuted` knows of earlier searches and calls. */
   findLeader(isRefuted: (claim: LeaderClaim) => boolean): LeaderClaim | undefined {
     const claims = [...this.#views].flatMap(([by, { leaderAddress: address, term }]) =>
-      address === undefined ? [] : [{ address, term, isOwnWord: by === address }],
+      address === undefined ? [] : [{ address, term, isSelfClaim: by === address }],
     )
-    const standing = claims.filter(
-      (claim) => claim.isOwnWord || !(this.#isDenied(claim) || isRefuted(claim)),
+    const validClaims = claims.filter(
+      (claim) => claim.isSelfClaim || !(this.#isDenied(claim) || isRefuted(claim)),
     )
-    standing.sort(
-      (left, right) => right.term - left.term || Number(right.isOwnWord) - Number(left.isOwnWord),
+    validClaims.sort(
+      (left, right) =>
+        right.term - left.term || Number(right.isSelfClaim) - Number(left.isSelfClaim),
     )
-    return standing[0]
+    return validClaims[0]
   }
 
   /** The member that is named has answered by itself, in that term or a later one, and does not say that it leads. */
--- a/batch/service/src/memberClients.ts
+++ b/batch/service/src/memberClients.ts
@@ -24,13 +24,13 @@
    * Whom the member says to lead; undefined where it says nothing in time. `onAnswer` is told of a late answer too. A
    * member that says nothing may be up behind a connection gone silent: the next question opens another.
    */
-  async askLeader(
+  async queryLeader(
     address: string,
     onAnswer: (view: LeaderView) => void,
   ): Promise<LeaderView | undefined> {
     const answered = new AbortController()
-    const late = this.#clock.sleep(locateTimeoutMs, answered.signal).then(() => undefined)
-    const asked = this.get(address)
+    const timeout = this.#clock.sleep(locateTimeoutMs, answered.signal).then(() => undefined)
+    const answer = this.get(address)
       .call.batch.locateLeader.mutate(undefined, limitCall({ silentAfterMs: locateTimeoutMs }))
       .then((view) => {
         onAnswer(view)
@@ -41,7 +41,7 @@
         this.#logger.debug({ event: 'member.silent', address, reason })
         return undefined
       })
-    const view = await Promise.race([asked, late])
+    const view = await Promise.race([answer, timeout])
     answered.abort()
     return view
   }
--- a/batch/service/src/operation.ts
+++ b/batch/service/src/operation.ts
@@ -13,7 +13,7 @@
   /** The job, queue or upstream it is about, for the log. */
   readonly subject: string
   /** What the log keeps of it: each change, reads as a summary, repeated ones only where they fail. */
-  readonly sort: 'change' | 'read' | 'repeated'
+  readonly kind: 'change' | 'read' | 'repeated'
   /** How long the call waits for a leader to be found, where that is less than the usual patience. */
   readonly patienceMs?: number
   readonly remote: (calls: MemberCalls, limits: CallLimits) => Promise<RpcResult<T>>
--- a/batch/service/src/operationRunner.ts
+++ b/batch/service/src/operationRunner.ts
@@ -9,15 +9,15 @@
 import { LeaderCaller, type LeaderCallerOptions } from './leaderCaller.js'
 import type { LeaderFinderOptions } from './leaderFinder.js'
 import type { Operation } from './operation.js'
-import { answerMarginMs, runRead } from './runRead.js'
+import { answerMarginMs, runHedgedRead } from './runHedgedRead.js'
 
 /** Before a further try: an instance just elected names itself, and only pauses let it get ready; each is longer. */
-const firstPauseMs = 20
-const longestPauseMs = 160
-const pauseGrowth = 2
+const initialBackoffMs = 20
+const maxBackoffMs = 160
+const backoffFactor = 2
 
 /** Members that are up answer a search within 300 ms, and searches come several a second while nobody is known to lead. */
-const silentMs = 1000
+const membersSilentAfterMs = 1000
 
 /** After so long without a leader it is looked at anew whether the call is still worth its wait. */
 const searchSliceMs = 400
@@ -45,44 +45,44 @@
       const trace = new CallTrace(this.#clock, wait)
       try {
         const value = await this.#runUntilAnswered(operation, trace)
-        this.#note(operation, trace)
+        this.#logCall(operation, trace)
         return value
       } catch (thrown) {
         const error = toNettlespurError(thrown)
-        this.#note(operation, trace, error)
+        this.#logCall(operation, trace, error)
         throw error
       }
     })
   }
 
-  #note(operation: Operation<unknown>, trace: CallTrace, error?: NettlespurError): void {
-    this.#opts.log.note(operation, trace, this.#opts.finder.leaderAddress, error)
+  #logCall(operation: Operation<unknown>, trace: CallTrace, error?: NettlespurError): void {
+    this.#opts.log.record(operation, trace, this.#opts.finder.leaderAddress, error)
   }
 
   #runUntilAnswered<T>(operation: Operation<T>, trace: CallTrace): Promise<T> {
     const { clock, patienceMs } = this.#opts
-    const refusal = this.#caller.refuseAtOnce()
+    const refusal = this.#caller.createEarlyRefusal()
     if (refusal !== undefined) return Promise.reject(refusal)
-    if (operation.sort !== 'read') return this.#runInTurn(operation, trace)
-    return runRead({ clock, patienceMs, caller: this.#caller, operation, trace })
+    if (operation.kind !== 'read') return this.#runSequentially(operation, trace)
+    return runHedgedRead({ clock, patienceMs, caller: this.#caller, operation, trace })
   }
 
   /** One try after the other: what may change something is never under way twice from here. */
-  async #runInTurn<T>(operation: Operation<T>, trace: CallTrace): Promise<T> {
+  async #runSequentially<T>(operation: Operation<T>, trace: CallTrace): Promise<T> {
     let mayHaveRun = false
-    let pauseMs = firstPauseMs
+    let backoffMs = initialBackoffMs
     for (;;) {
-      const limitMs = this.#limitMs(operation, trace, mayHaveRun)
+      const limitMs = this.#computeTimeLimitMs(operation, trace, mayHaveRun)
       const searchMs = Math.max(0, Math.min(searchSliceMs, limitMs - trace.tookMs))
       const attempt = await this.#caller.tryOnce(operation, { trace, searchMs, limits: {} })
       if (!(attempt instanceof NettlespurError)) return attempt.value
       mayHaveRun ||= isInDoubt(attempt)
       if (isFinal(attempt)) throw attempt
       const isOver =
-        trace.callerIsGone || trace.tookMs >= this.#limitMs(operation, trace, mayHaveRun)
+        trace.isCallerGone || trace.tookMs >= this.#computeTimeLimitMs(operation, trace, mayHaveRun)
       if (isOver) throw toFinalError(attempt, mayHaveRun)
-      await this.#clock.sleep(pauseMs)
-      pauseMs = Math.min(longestPauseMs, pauseMs * pauseGrowth)
+      await this.#clock.sleep(backoffMs)
+      backoffMs = Math.min(maxBackoffMs, backoffMs * backoffFactor)
     }
   }
 
@@ -91,15 +91,19 @@
    * again for as long as the caller waits and members answer: under its id it runs once, so a whole answer takes the
    * place of a doubt that the caller could not settle either. Where no member answers, another entry may do better.
    */
-  #limitMs(operation: Operation<unknown>, { deadlineMs }: CallTrace, mayHaveRun: boolean): number {
+  #computeTimeLimitMs(
+    operation: Operation<unknown>,
+    { deadlineMs }: CallTrace,
+    mayHaveRun: boolean,
+  ): number {
     const { finder } = this.#opts
     const { patienceMs = this.#opts.patienceMs } = operation
     if (deadlineMs === undefined) return patienceMs
-    const wholeMs = deadlineMs - answerMarginMs
+    const callerTimeLimitMs = deadlineMs - answerMarginMs
     const { quietMs = Infinity } = finder
-    return mayHaveRun && quietMs < silentMs
-      ? Math.max(patienceMs, wholeMs)
-      : Math.min(patienceMs, Math.max(0, wholeMs))
+    return mayHaveRun && quietMs < membersSilentAfterMs
+      ? Math.max(patienceMs, callerTimeLimitMs)
+      : Math.min(patienceMs, Math.max(0, callerTimeLimitMs))
   }
 }
 
--- a/batch/service/src/recordFaults.ts
+++ b/batch/service/src/recordFaultReporter.ts
@@ -7,9 +7,9 @@
 import type { MetricsRegistry } from '@nettlespur/core.metrics'
 
 /** Time between two lines of the same sender and kind. */
-const lineEveryMs = 60_000
+const reportIntervalMs = 60_000
 /** Senders and kinds that are told apart in that time; further ones are only counted. */
-const keptMax = 500
+const trackedMax = 500
 const senderCharactersMax = 64
 const reasonCharactersMax = 200
 
@@ -25,26 +25,26 @@
   readonly count?: number
 }
 
-export interface RecordFaultsOptions {
+export interface RecordFaultReporterOptions {
   clock: Clock
   logger: Logger
   metrics: MetricsRegistry
 }
 
-export class RecordFaults {
-  readonly #opts: RecordFaultsOptions
+export class RecordFaultReporter {
+  readonly #opts: RecordFaultReporterOptions
   /** When the last line of each sender and kind was written, the oldest first. */
-  readonly #toldAtMs = new Map<string, number>()
+  readonly #reportedAtMs = new Map<string, number>()
 
-  constructor(opts: RecordFaultsOptions) {
+  constructor(opts: RecordFaultReporterOptions) {
     this.#opts = opts
   }
 
-  note({ kind, sender, reason, count = 1 }: RecordFault): void {
+  report({ kind, sender, reason, count = 1 }: RecordFault): void {
     const { logger, metrics } = this.#opts
     metrics.count(`records_left_out_${kind.replaceAll('-', '_')}_total`, count)
     const shortSender = sender.slice(0, senderCharactersMax)
-    if (!this.#isLineDue(`${kind} ${shortSender}`)) return
+    if (!this.#isReportDue(`${kind} ${shortSender}`)) return
     const shortReason = reason.slice(0, reasonCharactersMax)
     logger.warn({
       event: 'record.left-out',
@@ -55,14 +55,14 @@
     })
   }
 
-  #isLineDue(key: string): boolean {
+  #isReportDue(key: string): boolean {
     const nowMs = this.#opts.clock.monotonicMs()
-    for (const [oldKey, toldAtMs] of this.#toldAtMs) {
-      if (nowMs - toldAtMs < lineEveryMs) break
-      this.#toldAtMs.delete(oldKey)
+    for (const [oldKey, reportedAtMs] of this.#reportedAtMs) {
+      if (nowMs - reportedAtMs < reportIntervalMs) break
+      this.#reportedAtMs.delete(oldKey)
     }
-    if (this.#toldAtMs.has(key) || this.#toldAtMs.size >= keptMax) return false
-    this.#toldAtMs.set(key, nowMs)
+    if (this.#reportedAtMs.has(key) || this.#reportedAtMs.size >= trackedMax) return false
+    this.#reportedAtMs.set(key, nowMs)
     return true
   }
 }
--- a/batch/service/src/refutedClaims.ts
+++ b/batch/service/src/refutedClaims.ts
@@ -17,7 +17,7 @@
   }
 
   /** Whether the member was ever found not to lead. */
-  knows(address: string): boolean {
+  hasAddress(address: string): boolean {
     return this.#terms.has(address)
   }
 }
--- a/batch/service/src/retryPauses.ts
+++ b/batch/service/src/retryBackoff.ts
@@ -7,19 +7,19 @@
 import type { RunEnd } from '@nettlespur/batch.state'
 
 /** Upstreams come and go: the first start elsewhere is not held back. */
-const freeRetries = 1
-const firstPauseMs = 100
+const immediateRetries = 1
+const initialBackoffMs = 100
 /** Below the time after which callers count a job with room as held up. */
-const longestPauseMs = 2000
-const keptMs = 30_000
+const maxBackoffMs = 2000
+const retentionMs = 30_000
 
-interface FruitlessStarts {
+interface FailedStarts {
   readonly count: number
   readonly untilMs: number
 }
 
-export class RetryPauses {
-  readonly #byTask = new Map<string, FruitlessStarts>()
+export class RetryBackoff {
+  readonly #byTask = new Map<string, FailedStarts>()
 
   /** `nowMs` and the end of the pause are on the same clock. */
   noteEnd(end: RunEnd, nowMs: number): void {
@@ -30,9 +30,10 @@
     }
     this.#prune(nowMs)
     const count = (this.#byTask.get(key)?.count ?? 0) + 1
-    const pauses = count - freeRetries
-    const pauseMs = pauses <= 0 ? 0 : Math.min(longestPauseMs, firstPauseMs * 2 ** (pauses - 1))
-    this.#byTask.set(key, { count, untilMs: nowMs + pauseMs })
+    const delayedRetries = count - immediateRetries
+    const backoffMs =
+      delayedRetries <= 0 ? 0 : Math.min(maxBackoffMs, initialBackoffMs * 2 ** (delayedRetries - 1))
+    this.#byTask.set(key, { count, untilMs: nowMs + backoffMs })
   }
 
   isPaused(task: TaskRef, nowMs: number): boolean {
@@ -43,7 +44,7 @@
   /** Forgets tasks whose last fruitless start is long ago: they are at work, or their jobs have ended. */
   #prune(nowMs: number): void {
     for (const [key, { untilMs }] of this.#byTask) {
-      if (nowMs - untilMs > keptMs) this.#byTask.delete(key)
+      if (nowMs - untilMs > retentionMs) this.#byTask.delete(key)
     }
   }
 }
--- a/batch/service/src/runRead.ts
+++ b/batch/service/src/runHedgedRead.ts
@@ -5,7 +5,7 @@
  */
 import { Wake, type Clock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
-import { isFinal, isInDoubt, type Attempt } from './callOutcomes.js'
+import { isFinal, isInDoubt, type AttemptResult } from './callOutcomes.js'
 import type { CallTrace } from './callTrace.js'
 import type { LeaderCaller } from './leaderCaller.js'
 import type { Operation } from './operation.js'
@@ -14,7 +14,7 @@
  * Many times what the slowest of a burst of reads takes; twice as long before each further question. With the whole
  * time of a call before the second question, a read over silent connections would end without an answer.
  */
-const askAgainAfterMs = 300
+const hedgeAfterMs = 300
 /** What a try learned of the leader counts for the next one, and a member just elected gets ready. */
 const retryPauseMs = 20
 /** For a further question after a leader has been silent: that one is mostly found again at once. */
@@ -22,7 +22,7 @@
 /** Left of the caller's time: the way back, and one more question at another entry. */
 export const answerMarginMs = 500
 
-export interface RunReadOptions<T> {
+export interface HedgedReadOptions<T> {
   clock: Clock
   caller: LeaderCaller
   operation: Operation<T>
@@ -32,22 +32,22 @@
 }
 
 /** Errors: rejects with the leader's own refusal, with what keeps the call from it, and `outcome-unknown`. */
-export function runRead<T>(opts: RunReadOptions<T>): Promise<T> {
-  return new RunningRead(opts).run()
+export function runHedgedRead<T>(opts: HedgedReadOptions<T>): Promise<T> {
+  return new HedgedRead(opts).run()
 }
 
-class RunningRead<T> {
-  readonly #opts: RunReadOptions<T>
-  readonly #limitMs: number
-  readonly #ended: Attempt<T>[] = []
+class HedgedRead<T> {
+  readonly #opts: HedgedReadOptions<T>
+  readonly #timeLimitMs: number
+  readonly #results: AttemptResult<T>[] = []
   readonly #wake = new Wake()
-  readonly #over = new AbortController()
-  #pauseMs = askAgainAfterMs
+  readonly #finished = new AbortController()
+  #hedgeAfterMs = hedgeAfterMs
 
-  constructor(opts: RunReadOptions<T>) {
+  constructor(opts: HedgedReadOptions<T>) {
     this.#opts = opts
     const { deadlineMs = 0 } = opts.trace
-    this.#limitMs = Math.max(opts.patienceMs, deadlineMs - answerMarginMs)
+    this.#timeLimitMs = Math.max(opts.patienceMs, deadlineMs - answerMarginMs)
   }
 
   async run(): Promise<T> {
@@ -55,53 +55,53 @@
     try {
       for (;;) {
         // While nobody is known to lead, one try waits for all.
-        if (!this.#opts.trace.isSearching) void this.#ask()
-        await this.#awaitEnd()
-        const attempts = this.#ended.splice(0)
+        if (!this.#opts.trace.isSearching) void this.#sendAttempt()
+        await this.#awaitResult()
+        const attempts = this.#results.splice(0)
         for (const attempt of attempts) {
           if (!(attempt instanceof NettlespurError)) return attempt.value
-          this.#judge(attempt)
+          this.#throwIfFinal(attempt)
         }
-        if (this.#leftMs <= 0) throw this.#createLate(attempts[0])
+        if (this.#remainingMs <= 0) throw this.#createTimeoutError(attempts[0])
         if (attempts.length > 0) await clock.sleep(retryPauseMs)
       }
     } finally {
-      this.#over.abort()
+      this.#finished.abort()
     }
   }
 
-  get #leftMs(): number {
-    return this.#limitMs - this.#opts.trace.tookMs
+  get #remainingMs(): number {
+    return this.#timeLimitMs - this.#opts.trace.tookMs
   }
 
-  async #ask(): Promise<void> {
+  async #sendAttempt(): Promise<void> {
     const { caller, operation, trace, patienceMs } = this.#opts
-    const leftMs = this.#leftMs
+    const remainingMs = this.#remainingMs
     const patienceLeftMs = Math.max(searchMsMin, patienceMs - trace.tookMs)
-    const searchMs = Math.max(0, Math.min(leftMs, patienceLeftMs))
+    const searchMs = Math.max(0, Math.min(remainingMs, patienceLeftMs))
     const limits = {
-      timeoutMs: leftMs,
-      silentAfterMs: this.#pauseMs,
-      unwanted: this.#over.signal,
+      timeoutMs: remainingMs,
+      silentAfterMs: this.#hedgeAfterMs,
+      unwanted: this.#finished.signal,
     }
-    this.#ended.push(await caller.tryOnce(operation, { trace, searchMs, limits }))
+    this.#results.push(await caller.tryOnce(operation, { trace, searchMs, limits }))
     this.#wake.notify()
   }
 
-  async #awaitEnd(): Promise<void> {
-    const waitMs = Math.max(0, Math.min(this.#pauseMs + retryPauseMs, this.#leftMs))
-    await this.#wake.wait(this.#opts.clock, waitMs, this.#over.signal)
-    if (this.#ended.length === 0) this.#pauseMs *= 2
+  async #awaitResult(): Promise<void> {
+    const waitMs = Math.max(0, Math.min(this.#hedgeAfterMs + retryPauseMs, this.#remainingMs))
+    await this.#wake.wait(this.#opts.clock, waitMs, this.#finished.signal)
+    if (this.#results.length === 0) this.#hedgeAfterMs *= 2
   }
 
   /** Goes on after what is no answer, unless it is hopeless or nobody waits any more. */
-  #judge(error: NettlespurError): void {
+  #throwIfFinal(error: NettlespurError): void {
     const { trace, patienceMs } = this.#opts
     const isRefused = !isInDoubt(error) && trace.tookMs >= patienceMs
-    if (isFinal(error) || isRefused || trace.callerIsGone) throw error
+    if (isFinal(error) || isRefused || trace.isCallerGone) throw error
   }
 
-  #createLate(cause: Attempt<T> | undefined): NettlespurError {
+  #createTimeoutError(cause: AttemptResult<T> | undefined): NettlespurError {
     const message = `no whole answer within ${Math.round(this.#opts.trace.tookMs)} ms`
     return new NettlespurError('outcome-unknown', message, { cause })
   }
--- a/batch/service/src/schedulingRounds.ts
+++ b/batch/service/src/schedulingRounds.ts
@@ -9,15 +9,15 @@
 import type { Logger } from '@nettlespur/core.logger'
 import type { MetricsRegistry } from '@nettlespur/core.metrics'
 import type { BatchTimings } from './batchTimings.js'
-import { buildView, type ListRunsOptions } from './buildView.js'
+import { buildSchedulerView, type ListRunsOptions } from './buildSchedulerView.js'
 import { Housekeeper } from './housekeeper.js'
 import type { JobClock } from './jobClock.js'
 import { listEvacuees } from './listEvacuees.js'
-import type { RetryPauses } from './retryPauses.js'
+import type { RetryBackoff } from './retryBackoff.js'
 import type { UpstreamRoster } from './upstreamRoster.js'
 
 /** Rounds that no event asks for: quarantines end, and jobs lose hope, with time alone. */
-const idleRoundMs = 500
+const idleRoundIntervalMs = 500
 /** A round that took longer is followed by a pause as long as it took: half of the time is left for calls. */
 const shortRoundMs = 2
 
@@ -33,7 +33,7 @@
   timings: BatchTimings
   roster: UpstreamRoster
   jobClock: JobClock
-  retryPauses: RetryPauses
+  retryBackoff: RetryBackoff
   getState: () => BatchState
   shouldStop: (placement: Placement) => boolean
   preempt: (runs: readonly Placement[]) => void
@@ -54,7 +54,7 @@
   }
 
   /** Asks for a round: something has changed that may let work start. */
-  request(): void {
+  requestRound(): void {
     this.#wake.notify()
   }
 
@@ -62,13 +62,13 @@
     const { clock, signal } = this.#opts
     const isOver = (): boolean => signal.aborted
     while (!isOver()) {
-      await this.#wake.wait(clock, idleRoundMs, signal)
-      if (!isOver()) await this.#decide()
-      if (!isOver()) await this.#housekeeper.look()
+      await this.#wake.wait(clock, idleRoundIntervalMs, signal)
+      if (!isOver()) await this.#runRound()
+      if (!isOver()) await this.#housekeeper.cleanUp()
     }
   }
 
-  async #decide(): Promise<void> {
+  async #runRound(): Promise<void> {
     const { clock, metrics, signal } = this.#opts
     const nowMs = clock.monotonicMs()
     this.#evacuate(nowMs)
@@ -81,15 +81,16 @@
   }
 
   #plan(nowMs: number): RoundDecision {
-    const { getState, roster, jobClock, retryPauses } = this.#opts
+    const { getState, roster, jobClock, retryBackoff } = this.#opts
     jobClock.update(getState(), nowMs)
-    const view = buildView({
+    const view = buildSchedulerView({
       ...this.#createRunsOptions(nowMs),
       acceptedAtMs: jobClock.acceptedAtMs,
       isUsable: (upstream) => roster.isUsable(upstream),
-      hasTrial: ({ description }) => roster.find(description.upstreamId)?.tracks.hasTrial === true,
+      hasTrial: ({ description }) =>
+        roster.findSession(description.upstreamId)?.tracks.hasTrial === true,
       isQuiet: (upstream) => roster.isQuiet(upstream),
-      isPaused: (task) => retryPauses.isPaused(task, nowMs),
+      isPaused: (task) => retryBackoff.isPaused(task, nowMs),
     })
     return planRound(view)
   }
@@ -119,7 +120,7 @@
       state: getState(),
       nowMs,
       isStopping: shouldStop,
-      findTrack: (placement) => roster.find(placement.upstreamId)?.tracks.find(placement),
+      findTrack: (placement) => roster.findSession(placement.upstreamId)?.tracks.find(placement),
     }
   }
 
@@ -128,7 +129,7 @@
     if (await tryPropose({ type: 'place-tasks', placements })) {
       for (const placement of placements) this.#startPlaced(placement)
     } else {
-      await clock.sleep(idleRoundMs, signal)
+      await clock.sleep(idleRoundIntervalMs, signal)
     }
   }
 
@@ -139,7 +140,7 @@
     if (!getState().placements.on(upstreamId).has(runKey(placement))) return
     const waitedMs = Math.round(jobClock.waitedMs(jobId, clock.monotonicMs()))
     this.#log('placement.decided', placement, { waitedMs })
-    roster.open(upstreamId)?.start(placement)
+    roster.openSession(upstreamId)?.start(placement)
   }
 
   #log(event: string, run: Placement, fields: Readonly<Record<string, string | number>>): void {
--- a/batch/service/src/upstreamRoster.ts
+++ b/batch/service/src/upstreamRoster.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '@nettlespur/core.logger'
 import type { BatchTimings } from './batchTimings.js'
 import { UpstreamHealth } from './upstreamHealth.js'
-import { UpstreamTable, type LeavingUpstream } from './upstreamTable.js'
+import { AnnouncementTable, type LeavingUpstream } from './announcementTable.js'
 
 /** Announcements that may be missed before an upstream gets no new work. */
 const missedAnnouncements = 3
@@ -30,20 +30,20 @@
 export class UpstreamRoster {
   readonly health = new UpstreamHealth()
   readonly #opts: UpstreamRosterOptions
-  readonly #takeoverMs: number
+  readonly #takeoverAtMs: number
   readonly #sessions = new Map<string, UpstreamSession>()
-  readonly #table = new UpstreamTable()
+  readonly #table = new AnnouncementTable()
 
   constructor(opts: UpstreamRosterOptions) {
     this.#opts = opts
-    this.#takeoverMs = opts.clock.monotonicMs()
+    this.#takeoverAtMs = opts.clock.monotonicMs()
   }
 
   get sessions(): Iterable<UpstreamSession> {
     return this.#sessions.values()
   }
 
-  find(upstreamId: string): UpstreamSession | undefined {
+  findSession(upstreamId: string): UpstreamSession | undefined {
     return this.#sessions.get(upstreamId)
   }
 
@@ -57,19 +57,19 @@
     const idle = [...upstreams.values()].filter(({ description, isDraining, hasLeft }) => {
       return !isDraining && !hasLeft && !holders.has(description.upstreamId)
     })
-    for (const upstreamId of holders) this.#open(upstreamId, this.#takeoverMs)?.resume()
-    for (const { description } of idle) this.open(description.upstreamId)?.greet()
+    for (const upstreamId of holders) this.#openSession(upstreamId, this.#takeoverAtMs)?.resume()
+    for (const { description } of idle) this.openSession(description.upstreamId)?.greet()
     const answered = [...this.sessions].map(({ answers }) => answers.first)
     const { clock, signal } = this.#opts
     await Promise.race([Promise.all(answered), clock.sleep(takeoverWaitMs, signal)])
   }
 
   /** The session with an upstream; undefined where the state does not know it. */
-  open(upstreamId: string): UpstreamSession | undefined {
-    return this.#open(upstreamId, undefined)
+  openSession(upstreamId: string): UpstreamSession | undefined {
+    return this.#openSession(upstreamId, undefined)
   }
 
-  #open(upstreamId: string, takeoverMs: number | undefined): UpstreamSession | undefined {
+  #openSession(upstreamId: string, takeoverMs: number | undefined): UpstreamSession | undefined {
     const known = this.#sessions.get(upstreamId)
     if (known !== undefined) return known
     const { host, clock, logger, port, timings, signal } = this.#opts
@@ -90,13 +90,13 @@
   }
 
   /** False for an announcement that came after a newer one. */
-  note(announcement: Announcement): boolean {
-    return this.#table.note(announcement, this.#opts.clock.monotonicMs())
+  recordAnnouncement(announcement: Announcement): boolean {
+    return this.#table.record(announcement, this.#opts.clock.monotonicMs())
   }
 
   /** To be called once the state knows the upstream. */
-  noteClock({ upstreamId, clockMs }: Announcement): void {
-    this.open(upstreamId)?.lease.clock.note(clockMs, this.#opts.clock.monotonicMs())
+  recordClock({ upstreamId, clockMs }: Announcement): void {
+    this.openSession(upstreamId)?.lease.clock.note(clockMs, this.#opts.clock.monotonicMs())
   }
 
   /** Upstreams that have said until when they stay. */
--- a/batch/service/test/callLog.test.ts
+++ b/batch/service/test/callLog.test.ts
@@ -10,11 +10,11 @@
 const leader = '127.0.0.1:1'
 const belief = { address: leader, ageMs: 9000, quietMs: 4000 }
 
-function createOperation(subject: string, sort: Operation<null>['sort']): Operation<null> {
+function createOperation(subject: string, sort: Operation<null>['kind']): Operation<null> {
   const refuse = () => {
     throw new Error('not called here')
   }
-  return { name: `call-${sort}`, subject, sort, remote: refuse, local: refuse }
+  return { name: `call-${sort}`, subject, kind: sort, remote: refuse, local: refuse }
 }
 
 function startTrial() {
@@ -23,14 +23,14 @@
   const log = new CallLog({ clock, ...recorder })
   const note = async (
     subject: string,
-    sort: Operation<null>['sort'],
+    sort: Operation<null>['kind'],
     { tookMs = 20, wait = {}, error = undefined as NettlespurError | undefined } = {},
   ): Promise<void> => {
     const trace = new CallTrace(clock, wait)
     const endAttempt = trace.startAttempt(belief)
     await clock.advance(tookMs)
     endAttempt(error?.kind ?? 'done')
-    log.note(createOperation(subject, sort), trace, leader, error)
+    log.record(createOperation(subject, sort), trace, leader, error)
   }
   return { clock, log, note, ...recorder }
 }
@@ -98,7 +98,7 @@
   const traces = Array.from({ length: 200 }, () => new CallTrace(clock, {}))
   await clock.advance(500)
   for (const [at, trace] of traces.entries()) {
-    log.note(createOperation(`job-${at}`, 'read'), trace, leader)
+    log.record(createOperation(`job-${at}`, 'read'), trace, leader)
   }
   await clock.advance(1000)
   t.is(named('call.answered').length, 20)
@@ -116,7 +116,7 @@
 test('a search for the leader is counted with its time', async (t) => {
   const clock = new ManualClock()
   const trace = new CallTrace(clock, {})
-  const found = trace.search(() => clock.sleep(300))
+  const found = trace.trackSearch(() => clock.sleep(300))
   await clock.advance(300)
   await found
   t.like(trace.describe(), { tookMs: 300, searches: 1, searchMs: 300, attempts: 0 })
--- a/batch/service/test/housekeeper.test.ts
+++ b/batch/service/test/housekeeper.test.ts
@@ -20,7 +20,7 @@
   const housekeeper = new Housekeeper({ clock, keepEndedMs, getState: () => state, tryPropose })
   const lookAfter = async (durationMs: number): Promise<void> => {
     await clock.advance(durationMs)
-    await housekeeper.look()
+    await housekeeper.cleanUp()
   }
   return { state, lookAfter }
 }
--- a/batch/service/test/leaderSearch.test.ts
+++ b/batch/service/test/leaderSearch.test.ts
@@ -7,7 +7,7 @@
 function createSearch(asked: readonly string[] = members) {
   const search = new LeaderSearch(asked)
   const note = (address: string, term: number, leaderAddress?: string): void => {
-    search.note(address, { leaderAddress, term, memberAddresses: members })
+    search.addView(address, { leaderAddress, term, memberAddresses: members })
   }
   return { search, note }
 }
@@ -48,9 +48,9 @@
 
 test('a member that knows itself only does not decide for the others that were asked', (t) => {
   const search = new LeaderSearch(['a', 'b'])
-  search.note('a', { leaderAddress: 'a', term: 1, memberAddresses: ['a'] })
+  search.addView('a', { leaderAddress: 'a', term: 1, memberAddresses: ['a'] })
   t.false(search.isDecided)
-  search.note('b', { leaderAddress: 'b', term: 2, memberAddresses: ['b'] })
+  search.addView('b', { leaderAddress: 'b', term: 2, memberAddresses: ['b'] })
   t.true(search.isDecided)
   t.is(findAddress(search), 'b')
 })
--- a/batch/service/test/leaderWatch.test.ts
+++ b/batch/service/test/leaderWatch.test.ts
@@ -41,12 +41,12 @@
   const group = await startWatchedGroup(t)
   cutOff(group, [0, 1, 2])
   await group.settle(group.clock.sleep(4000))
-  t.false(group.client.reachesMembers)
+  t.false(group.client.canReachMembers)
   t.is(group.recorder.named('members.unreachable').length, 1)
   group.link(2).isDark = false
   group.link(2).silence()
   await group.settle(group.clock.sleep(3000))
-  t.true(group.client.reachesMembers)
+  t.true(group.client.canReachMembers)
 })
 
 test('a member that knows no leader is an answer: an election is no isolation', async (t) => {
@@ -54,5 +54,5 @@
   cutOff(group, [0])
   for (const at of [1, 2]) group.member(at).view = { term: 2, memberAddresses: [] }
   await group.settle(group.clock.sleep(10_000))
-  t.true(group.client.reachesMembers)
+  t.true(group.client.canReachMembers)
 })
--- a/batch/service/test/slowMembers.test.ts
+++ b/batch/service/test/slowMembers.test.ts
@@ -18,7 +18,7 @@
   const group = await startSlow(t)
   await group.settle(group.clock.sleep(10_000))
   t.deepEqual(group.recorder.named('members.unreachable'), [])
-  t.true(group.client.reachesMembers)
+  t.true(group.client.canReachMembers)
 })
 
 test('a read is answered whenever it comes while all members answer late', async (t) => {
--- a/bench/policy/src/playDay.ts
+++ b/bench/policy/src/playDay.ts
@@ -1,7 +1,7 @@
 /** Plays a crowded day with the scheduler and the state of the product, in simulated time. */
 import { planRound } from '@nettlespur/batch.scheduler'
 import type { UpstreamDescription } from '@nettlespur/batch.model'
-import { buildView, UpstreamHealth } from '@nettlespur/batch.service'
+import { buildSchedulerView, UpstreamHealth } from '@nettlespur/batch.service'
 import { BatchState, type RunEnd } from '@nettlespur/batch.state'
 import { SeededRandom } from '@nettlespur/bench.placement'
 import { finishMs, type CrowdedDay, type DayJob } from './crowdedDay.js'
@@ -111,7 +111,7 @@
 
   #decide(): void {
     const begunAt = process.hrtime.bigint()
-    const view = buildView({
+    const view = buildSchedulerView({
       state: this.#state,
       nowMs: this.#nowMs,
       acceptedAtMs: this.#acceptedAtMs,
