--- a/batch/service/src/announcementTable.ts
+++ b/batch/service/src/announcementTable.ts
@@ -1,26 +1,29 @@
-/** What the leader remembers of announcements. It is lost with the leadership and soon heard again. */
+/**
+ * The last announcement of each upstream, held in the leader's memory; a new leader learns it from the next ones. An
+ * upstream id stands for one incarnation of a process: after a restart at the same address it has a new id.
+ */
 import type { Announcement } from '@nettlespur/batch.model'
 
 interface LastAnnouncement {
   readonly sequence: number
   readonly heardAtMs: number
   readonly address: string
-  /** On our clock: until then it stays at least. Undefined unless it is about to leave. */
+  /** The upstream stays at least until then, on this member's clock. Undefined unless it is about to leave. */
   readonly leavesAtMs: number | undefined
 }
 
 export interface LeavingUpstream {
   readonly upstreamId: string
-  /** On our clock: until then it stays at least. */
+  /** The upstream stays at least until then, on this member's clock. */
   readonly leavesAtMs: number
 }
 
 export class AnnouncementTable {
   readonly #lastByUpstream = new Map<string, LastAnnouncement>()
-  /** The life that was first heard last at each address. */
+  /** The upstream whose first announcement is the latest, by address. */
   readonly #newestByAddress = new Map<string, string>()
 
-  /** False for an announcement that came after a newer one. */
+  /** Returns false, and changes nothing, if a newer announcement of the upstream has arrived before. */
   record(announcement: Announcement, nowMs: number): boolean {
     const { upstreamId, sequence, address, drainRemainingMs } = announcement
     const known = this.#lastByUpstream.get(upstreamId)
@@ -31,23 +34,24 @@
     return true
   }
 
-  /** -Infinity where it was not heard under this leader. */
+  /** When the upstream last announced itself; -Infinity if it has not under this leader. */
   heardAtMs(upstreamId: string): number {
     return this.#lastByUpstream.get(upstreamId)?.heardAtMs ?? -Infinity
   }
 
-  /** Upstreams that have said until when they stay. */
+  /** Upstreams that have announced until when they stay. */
   listLeaving(): LeavingUpstream[] {
     return [...this.#lastByUpstream].flatMap(([upstreamId, { leavesAtMs }]) =>
       leavesAtMs === undefined ? [] : [{ upstreamId, leavesAtMs }],
     )
   }
 
-  /** A later life of the process has announced itself at the same address. */
+  /** Whether a later incarnation of the process has announced itself at the same address. */
   isReplaced(upstreamId: string): boolean {
     const address = this.#lastByUpstream.get(upstreamId)?.address
     if (address === undefined) return false
-    // None once the newest is gone: it was a former life whose announcement came late, and this one is the next.
+    // Undefined once the newest was forgotten: that was an earlier incarnation whose announcement came late, and
+    // `upstreamId` has replaced it.
     const newest = this.#newestByAddress.get(address)
     return newest !== undefined && newest !== upstreamId
   }
--- a/batch/service/src/authorizeCall.ts
+++ b/batch/service/src/authorizeCall.ts
@@ -1,4 +1,4 @@
-/** Whether a caller's call leads to a queue, and for which workspace it is. */
+/** Finds the queue that a call addresses and the workspace that its key belongs to. */
 import {
   findQueue,
   findWorkspace,
@@ -10,11 +10,11 @@
 
 export interface AuthorizedCall {
   readonly queue: QueueConfig
-  /** Empty for a call without a key on a queue that asks for none. */
+  /** Empty if the call has no known key and the queue is anonymous. */
   readonly workspace: string
 }
 
-/** `rest` is what must follow the queue's prefix. Errors: gives `unknown-route` and `unauthorized`. */
+/** `pathSuffix` is what must follow the queue's path prefix. Errors: returns `unknown-route` and `unauthorized`. */
 export function authorizeCall(
   config: ClusterConfig,
   call: QueueCall,
@@ -25,7 +25,10 @@
     return createUnknownRouteError(call)
   const workspace = findWorkspace(config, call.key)
   if (workspace === undefined && !queue.anonymous) {
-    return new NettlespurError('unauthorized', `the key is not one of queue ${queue.name}`)
+    return new NettlespurError(
+      'unauthorized',
+      `queue ${queue.name} requires the key of a workspace`,
+    )
   }
   return { queue, workspace: workspace?.name ?? '' }
 }
--- a/batch/service/src/batchApi.ts
+++ b/batch/service/src/batchApi.ts
@@ -1,6 +1,6 @@
 /**
- * What entries, operators and upstreams ask of control. The leader answers; any member can be asked who
- * leads. Every call may be sent again: it then has the same effect as once.
+ * The calls that entries, operators and upstreams make to control. The leader answers them; any member tells who the
+ * leader is. Every call is idempotent and may be retried.
  */
 import { addressSchema } from '@nettlespur/api.schemas'
 import {
@@ -15,7 +15,7 @@
 import { z } from 'zod'
 import type { CallerWait } from './callerWait.js'
 
-/** A caller's call on a queue or one of its jobs. */
+/** The address and key of a caller's request for a queue or one of its jobs. */
 export const queueCallSchema = z.object({
   host: z.string(),
   path: z.string(),
@@ -30,7 +30,7 @@
 export type SubmitCall = z.infer<typeof submitCallSchema>
 
 export const leaderViewSchema = z.object({
-  /** Peer address of the leader, where this member knows it. */
+  /** Peer address of the leader; absent if this member knows none. */
   leaderAddress: addressSchema.optional(),
   term: z.number(),
   /** Peer addresses of all members. */
@@ -47,15 +47,15 @@
   abstract cancelJob(call: JobCall, wait?: CallerWait): EitherAsync<NettlespurError, null>
   /** Errors: as `cancelJob`. */
   abstract getJobState(call: JobCall, wait?: CallerWait): EitherAsync<NettlespurError, JobState>
-  /** The queue's jobs of which no task has started. Errors: as `submitJob`. */
+  /** Counts the queue's active jobs of which no task has started. Errors: as `submitJob`. */
   abstract countPending(call: QueueCall, wait?: CallerWait): EitherAsync<NettlespurError, number>
-  /** Resolves once this configuration, or one with a version as high, is stored. */
+  /** Resolves once this configuration, or one with the same or a higher version, is stored. */
   abstract applyConfig(config: ClusterConfig): EitherAsync<NettlespurError, null>
-  /** The newest configuration as it was sent. Errors: `no-config`. */
+  /** The source text of the newest configuration, as it was sent. Errors: `no-config`. */
   abstract readConfig(): EitherAsync<NettlespurError, string>
   abstract announce(announcement: Announcement): EitherAsync<NettlespurError, null>
-  /** The upstream ends now. */
+  /** Removes an upstream that is shutting down now. */
   abstract leave(upstreamId: string): EitherAsync<NettlespurError, null>
-  /** Adds a member to control, unless it is one. */
+  /** Adds a member to control; no effect if it is one already. */
   abstract join(member: Member): EitherAsync<NettlespurError, null>
 }
--- a/batch/service/src/batchLeader.ts
+++ b/batch/service/src/batchLeader.ts
@@ -1,6 +1,6 @@
 /**
- * The work of one leadership: it talks to the upstreams, decides what starts where, and commits each
- * placement before its start is sent.
+ * The leader's work during one term: keeps sessions with the upstreams, runs the scheduling rounds, and commits each
+ * placement before it orders the upstream to start it.
  */
 import { runKey, toDescription, type Announcement } from '@nettlespur/batch.model'
 import { SessionHost, type UpstreamPort } from '@nettlespur/batch.sessions'
@@ -37,7 +37,7 @@
   metrics: MetricsRegistry
   timings: BatchTimings
   port: UpstreamPort
-  /** The member's own, kept whoever leads. */
+  /** Owned by the member, which maintains it whether or not it leads. */
   jobClock: JobClock
   getState: () => BatchState
   propose: Propose
@@ -71,7 +71,7 @@
       tryPropose: (command) => this.#tryPropose(command),
       signal,
     })
-    // Every session waits on it, some of them several times at once.
+    // Every session listens to the signal, some of them several times at once.
     setMaxListeners(0, signal)
   }
 
@@ -79,7 +79,7 @@
     return this.#opts.getState()
   }
 
-  /** Takes up what earlier leaders placed, and begins to decide. */
+  /** Takes over the runs that earlier leaders placed, then starts the scheduling rounds. */
   start(): void {
     const { upstreams, unsettled, placements } = this.#state
     const inheritedUpstreams = [...placements.upstreamIds].length
@@ -103,17 +103,17 @@
     this.#opts.logger.info({ event: 'leader.stopped', term: this.fence })
   }
 
-  /** To be called after each applied command. */
+  /** Call it after each applied command. */
   handleAppliedCommand(command: Command): void {
     for (const jobId of listAffectedJobs(command)) {
       const job = this.findJob(jobId)
       if (job !== undefined) this.#requestStops(listPlacements(job))
     }
-    // What a round placed leaves no more room for the next one.
+    // A round's own placements only take up resources, so they need no further round.
     if (command.type !== 'place-tasks') this.#rounds.requestRound()
   }
 
-  /** Resolves once control has what matters of it. Errors: rejects as proposals do. */
+  /** Resolves once the changes that the announcement brings are committed. Errors: rejects as proposals do. */
   async announce(announcement: Announcement): Promise<void> {
     const { upstreamId, isDraining, drainRemainingMs } = announcement
     const known = this.#state.upstreams.get(upstreamId)
@@ -187,8 +187,9 @@
   }
 
   /**
-   * An upstream of a pool that was dropped still says when it leaves. Any other pool that is not configured is of
-   * another writer, or not configured yet: the upstream is heard again soon, and until then it changes nothing.
+   * Whether announcements of this pool are accepted. An upstream whose pool was dropped from the configuration may still
+   * announce that it leaves. Any other unconfigured pool belongs to another writer or is not configured yet: the
+   * announcement is ignored, and a later one is accepted once the pool is configured.
    */
   #isPoolKnown({ upstreamId, pool }: Announcement): boolean {
     const { config } = this.#state
@@ -203,7 +204,7 @@
     return this.#preempted.size > 0 && this.#preempted.has(runKey(placement))
   }
 
-  /** Has the sessions stop those of the runs that are to be stopped. */
+  /** Has the sessions stop those of the runs for which `shouldStop` holds. */
   #requestStops(runs: readonly Placement[]): void {
     for (const run of runs) this.#roster.findSession(run.upstreamId)?.review(run)
   }
@@ -218,7 +219,7 @@
     await unwrap(this.#opts.propose(command))
   }
 
-  /** False, with a line in the log, where the command was not committed or that is not known. */
+  /** Resolves to false, and logs a warning, if the command was not committed or its outcome is unknown. */
   async #tryPropose(command: Command): Promise<boolean> {
     const outcome = await this.#opts.propose(command).run()
     outcome.ifLeft(({ kind, message: reason }) => {
@@ -228,7 +229,7 @@
     return outcome.isRight()
   }
 
-  /** Has the runs stopped, and their gangs with them. */
+  /** Marks the runs as preempted and has their sessions stop them; the end of a gang member then stops its whole gang. */
   #preempt(runs: readonly Placement[]): void {
     for (const run of runs) this.#preempted.add(runKey(run))
     this.#requestStops(runs)
--- a/batch/service/src/batchNode.ts
+++ b/batch/service/src/batchNode.ts
@@ -1,6 +1,6 @@
 /**
- * One member of control for batch work: its part in agreement, the state, and while it leads the work of
- * the leader. Calls that only a leader can answer are refused with the leader's address.
+ * One control member for batch scheduling: its Raft node, the replicated state and, while it leads, the leader's work. A
+ * member that does not lead refuses the leader's calls with the leader's address.
  */
 import type { UpstreamPort } from '@nettlespur/batch.sessions'
 import {
@@ -27,32 +27,32 @@
 import { JobClock } from './jobClock.js'
 import type { BatchTimings } from './batchTimings.js'
 
-/** A caller that finds no leader comes again when one may have been elected. */
+/** Delay before a refused caller retries, and before a new leader repeats a failed read barrier. */
 const retryAfterMs = 500
 
 export interface BatchNodeOptions {
   memberId: string
-  /** The founders of the group; none for an instance that waits to be added. */
+  /** The members that found the group; empty for an instance that asks to be added. */
   initialMembers: readonly Member[]
   clock: Clock
   logger: Logger
   metrics: MetricsRegistry
-  /** Closed with the node. */
+  /** The node closes it when it stops. */
   store: LogStore
   transport: RaftTransport
   port: UpstreamPort
   timings: BatchTimings
-  /** Of agreement, where they are not to be its own. */
+  /** Override the default limits of Raft. */
   limits?: Partial<RaftLimits>
   /** A number in [0, 1); Math.random by default. */
   random?: () => number
-  /** As for agreement. */
+  /** Passed on to the Raft node. */
   onFault?: (fault: NettlespurError) => void
 }
 
 export class BatchNode {
   readonly raft: RaftNode<CommandOutcome>
-  /** What the leader answers; refused by any other member. */
+  /** The batch API, served while this member leads; otherwise every call is refused with `not-leader`. */
   readonly calls: BatchApi
   readonly #opts: BatchNodeOptions
   readonly #machine: BatchMachine
@@ -100,18 +100,18 @@
       limits: opts.limits ?? {},
       ...(random === undefined ? {} : { random }),
       ...(opts.onFault === undefined ? {} : { onFault: opts.onFault }),
-      // The platform may suspend an instance, and its steady clock does not count that time.
+      // Unsafe here: the platform may suspend an instance, and its monotonic clock does not count that time.
       leaseReads: false,
     })
     return new BatchNode(opts, raft, machine)
   }
 
-  /** Where it is not, this instance asks to be added. */
+  /** False for an instance that still has to ask to be added. */
   get isMember(): boolean {
     return this.raft.isMember
   }
 
-  /** The peer side of the member that leads, as far as this one knows. */
+  /** The peer address of the leader; undefined if this member knows none. */
   get leaderAddress(): string | undefined {
     return this.raft.leader?.peerAddress
   }
@@ -143,7 +143,7 @@
     this.#leader = undefined
   }
 
-  /** Nothing is answered or decided before all that was committed earlier is applied. */
+  /** Starts the leader's work once all that was committed in earlier terms is applied. */
   async #startLeading(term: number): Promise<void> {
     const ready = await this.raft.readBarrier().run()
     const { role, term: nowTerm } = this.raft.describe()
@@ -169,7 +169,7 @@
     this.#leader.start()
   }
 
-  /** Errors: throws `not-leader`; its hint is the leader's address, where that is known. */
+  /** Errors: throws `not-leader`, with the leader's address as the hint if it is known. */
   #requireLeader(): BatchLeader {
     if (this.#leader !== undefined) return this.#leader
     const { leaderAddress: hint } = this
--- a/batch/service/src/batchTimings.ts
+++ b/batch/service/src/batchTimings.ts
@@ -1,4 +1,4 @@
-/** Timings of batch work over control. */
+/** Timings of batch scheduling on the control members. */
 import type { SessionTimings } from '@nettlespur/batch.sessions'
 import type { RaftTimings } from '@nettlespur/consensus.raft'
 
@@ -7,6 +7,6 @@
   readonly session: SessionTimings
   /** How often upstreams announce themselves. */
   readonly announceEveryMs: number
-  /** How long an ended job is still shown. */
+  /** How long a job stays readable after it has ended. */
   readonly keepEndedMs: number
 }
--- a/batch/service/src/buildSchedulerView.ts
+++ b/batch/service/src/buildSchedulerView.ts
@@ -1,4 +1,4 @@
-/** Puts together what a scheduling round looks at, from the committed state and what sessions have seen. */
+/** Builds the input of a scheduling round from the committed state and from what the sessions have observed. */
 import type { Resources, StepSpec, TaskRef } from '@nettlespur/batch.model'
 import {
   addResources,
@@ -11,11 +11,11 @@
 import type { RunTrack } from '@nettlespur/batch.sessions'
 import type { BatchState, Placement, UpstreamRecord } from '@nettlespur/batch.state'
 
-/** A stop saves a checkpoint; what is lost then is the time until the task is at work again. */
+/** Work lost by stopping a run with checkpoints: the time until the task works again, since a stop saves a checkpoint. */
 const restartSeconds = 1
 const milliseconds = 1000
 const wholePercent = 100
-/** Below it, a start-up that took long would count for the whole run. */
+/** Below this progress, extrapolating from it would take a long start-up for the pace of the whole run. */
 const minProgressPercent = 20
 
 export interface ListRunsOptions {
@@ -28,11 +28,11 @@
 export interface BuildSchedulerViewOptions extends ListRunsOptions {
   acceptedAtMs: ReadonlyMap<string, number>
   isUsable: (upstream: UpstreamRecord) => boolean
-  /** A run on trial has just started there. */
+  /** Whether a run on trial has just started there. */
   hasTrial: (upstream: UpstreamRecord) => boolean
   /** See `UpstreamRoom`. */
   isQuiet: (upstream: UpstreamRecord) => boolean
-  /** The task waits for a moment, as its last starts came to nothing. */
+  /** Whether the task is in backoff after failed starts. */
   isPaused: (task: TaskRef) => boolean
 }
 
@@ -48,7 +48,7 @@
     rooms: usable.map((upstream) => buildRoom(opts, upstream)),
     isPaused: opts.isPaused,
     isProven: (placement) => opts.findTrack(placement)?.isProven === true,
-    // Only rounds in which something does not fit look at what runs.
+    // Computed on demand: only rounds in which something does not fit look at the runs.
     get runs() {
       return (runs ??= usable.flatMap(({ description }) => listRuns(opts, description.upstreamId)))
     },
@@ -76,14 +76,14 @@
     ...known,
     free,
     soon: addResources(free, stopping),
-    // Only starts on trial ask for it.
+    // Computed on demand: only starts on trial need it.
     get isQuiet() {
       return opts.isQuiet(upstream)
     },
   }
 }
 
-/** What runs on one upstream, and when it is expected to end. */
+/** Lists the runs on one upstream, with their expected ends and the cost of stopping them. */
 export function listRuns(opts: ListRunsOptions, upstreamId: string): ActiveRun[] {
   return [...opts.state.placements.on(upstreamId).values()].map((placement) => {
     const step = findStep(opts.state, placement)
@@ -98,7 +98,7 @@
   })
 }
 
-/** By its progress once that says something, else by its declared run time. */
+/** Extrapolates from the progress once that is meaningful; until then uses the declared run time. */
 function estimateEndMs(
   nowMs: number,
   step: StepSpec | undefined,
--- a/batch/service/src/callLog.ts
+++ b/batch/service/src/callLog.ts
@@ -1,7 +1,7 @@
 /**
- * What the log and the figures keep of calls to the leader. Each change and each failed call leaves a line.
- * A read that is answered in time is one of many: its second's summary names it, so that a search for a
- * job's id finds it, and the volume stays at a line a second and 17 bytes a read. A slow one has a line.
+ * Logs calls to the leader and records their metrics. Each change, failed call and slow read has a log line. Other reads
+ * are too many for that: one summary a second names their subjects, so that a search for a job's id finds them at a cost
+ * of 17 bytes a read.
  */
 import type { Clock, Timer } from '@nettlespur/core.clock'
 import type { NettlespurError } from '@nettlespur/core.errors'
@@ -11,9 +11,9 @@
 import type { Operation } from './operation.js'
 import { ReadSummary } from './readSummary.js'
 
-/** Reads of a burst of 150 take 17 to 22 ms at the median and 29 ms at most; ten medians are a disturbance. */
+/** About ten times the median of a burst of 150 reads, which take 17 to 22 ms at the median and 29 ms at most. */
 const slowReadMs = 200
-/** Lines of slow reads a second: what goes beyond, in an overloaded process, is counted in the summary. */
+/** Log lines for slow reads a second; in an overloaded process, further slow reads are counted in the summary. */
 const slowLinesMax = 20
 const summaryEveryMs = 1000
 
@@ -33,7 +33,7 @@
     this.#opts = opts
   }
 
-  /** Writes the summary that is due later. */
+  /** Writes the pending summaries. */
   close(): void {
     this.#timer?.cancel()
     this.#writeSummaries()
@@ -67,7 +67,10 @@
     if (trace.isCallerGone) metrics.count(`calls_${call}_caller_gone_total`)
   }
 
-  /** A caller that is gone did not get its answer, however fast it was. */
+  /**
+   * Whether the read gets a line of its own: it was slow, or its caller is gone and did not get the answer. Counts it
+   * against `slowLinesMax`.
+   */
   #claimSlowLine(trace: CallTrace): boolean {
     if (trace.tookMs < slowReadMs && !trace.isCallerGone) return false
     this.#startTimer()
--- a/batch/service/src/callTrace.ts
+++ b/batch/service/src/callTrace.ts
@@ -1,21 +1,21 @@
-/** What one call waited on: searches for the leader, and calls of members with what each ended in. */
+/** Records where the time of one call went: searches for the leader, and attempts at members with their outcomes. */
 import type { Clock } from '@nettlespur/core.clock'
 import type { LogEvent } from '@nettlespur/core.logger'
 import type { CallerWait } from './callerWait.js'
 
-/** What was known of a member when it was called as the leader. */
+/** What was known of the presumed leader when a call was sent to it. */
 export interface LeaderBelief {
   readonly address: string
-  /** Since it was first believed to lead. */
+  /** Time since this process began to take it for the leader. */
   readonly ageMs: number
-  /** Since it last answered this process. */
+  /** Time since it last answered this process. */
   readonly quietMs: number
 }
 
 interface StartedAttempt {
   readonly address: string
   readonly startMs: number
-  /** Empty while it has none. */
+  /** Outcome, address and duration for the log; empty while the attempt is running. */
   end: string
 }
 
@@ -51,11 +51,12 @@
     return this.#wait.gone?.aborted === true
   }
 
-  /** A try of the call waits for a leader to be found. */
+  /** Whether an attempt is waiting for a leader to be found. */
   get isSearching(): boolean {
     return this.#runningSearches > 0
   }
 
+  /** Runs a search for the leader and adds its duration to the trace. */
   async trackSearch<T>(run: () => Promise<T>): Promise<T> {
     const startMs = this.#clock.monotonicMs()
     this.#searches += 1
@@ -68,7 +69,10 @@
     }
   }
 
-  /** A call of a member begins; gives what is to be told its outcome. The log shows the first one's belief. */
+  /**
+   * Records that a member is being called and returns the function to call with the outcome. The log line shows the
+   * belief of the first attempt only.
+   */
   startAttempt(belief: LeaderBelief): (outcome: string) => void {
     const attempt = { address: belief.address, startMs: this.#clock.monotonicMs(), end: '' }
     this.#firstBelief ??= belief
@@ -93,7 +97,7 @@
     }
   }
 
-  /** A call without an outcome yet is `open`. */
+  /** An attempt without an outcome is shown as `open`. */
   #listEnds(): string[] {
     return this.#attempts.map(({ address, startMs, end }) => {
       return end === '' ? `open@${address}+${this.#elapsedMs(startMs)}ms` : end
--- a/batch/service/src/callerWait.ts
+++ b/batch/service/src/callerWait.ts
@@ -1,8 +1,8 @@
-/** What a process knows of the caller for whom it makes a call. */
+/** How long the caller of a request waits, and whether it is still there. */
 
 export interface CallerWait {
-  /** How long the caller waits for its answer, counted from when its call came; absent where it did not say. */
+  /** How long the caller waits for its answer, from the arrival of its call; absent if it set no deadline. */
   readonly deadlineMs?: number | undefined
-  /** Aborted when the caller goes away before its answer. */
+  /** Aborted when the caller disconnects before it has its answer. */
   readonly gone?: AbortSignal | undefined
 }
--- a/batch/service/src/createBatchRouter.ts
+++ b/batch/service/src/createBatchRouter.ts
@@ -1,4 +1,4 @@
-/** The tRPC router through which other processes reach a member of control. */
+/** The tRPC router through which other processes call a control member. */
 import { announcementSchema, clusterConfigSchema } from '@nettlespur/batch.model'
 import { memberSchema } from '@nettlespur/consensus.raft'
 import { toRpcResult } from '@nettlespur/core.errors'
@@ -12,7 +12,7 @@
   type LeaderView,
 } from './batchApi.js'
 
-/** What a member answers without being the leader. */
+/** Calls that every member answers, leader or not. */
 export interface LeaderLocator {
   locateLeader(): LeaderView
 }
--- a/batch/service/src/describeStep.ts
+++ b/batch/service/src/describeStep.ts
@@ -1,7 +1,7 @@
-/** A step in one word, for log lines. */
+/** A compact description of a step, for log lines. */
 import type { StepSpec } from '@nettlespur/batch.model'
 
-/** Such as `5x13000m/68000MiB/8,8500ms,gang,rack`: tasks, what each needs, its run time, and how they run. */
+/** Such as `5x13000m/68000MiB/8;8500ms;gang;rack`: task count, resources of each, run time, and constraints. */
 export function describeStep(step: StepSpec): string {
   const { taskCount, needs, expectedRunTimeMs } = step
   const size = `${needs.cpuMillicores}m/${needs.memoryMiB}MiB/${needs.accelerators}`
--- a/batch/service/src/drawSearchPauseMs.ts
+++ b/batch/service/src/drawSearchPauseMs.ts
@@ -1,14 +1,14 @@
 /**
- * The pauses between searches for a leader. An election takes about a second, and each caller that waits then loses half
- * a pause; what lasts longer is asked about less often. Pauses are drawn, so that the searches of many processes spread.
- * In an outage of 6 s a process with callers searches at most 45 times, its idle looks included: 97 processes cost
- * each member 730 small calls a second at most, answered from memory.
+ * The pauses between searches for a leader. During an election, which takes about a second, a waiting caller loses half a
+ * pause on average, so pauses are short; in a longer outage they are longer. They are random, so that the searches of
+ * many processes do not coincide. The lengths bound the load on the members: a process with waiting callers searches at
+ * most 45 times in an outage of 6 s, so 97 processes send each member at most 730 small calls a second.
  */
 import { electionWindowMs } from './leaderOutage.js'
 
 const electionPauseMs = 150
 const longOutagePauseMs = 400
-/** Pauses are drawn from this share of their length up to the whole. */
+/** A pause is a random share of its full length: from this one up to the whole. */
 const minPauseShare = 0.6
 
 /** `random` is a number in [0, 1). */
--- a/batch/service/src/firstSeenTimes.ts
+++ b/batch/service/src/firstSeenTimes.ts
@@ -1,8 +1,8 @@
-/** When each of a changing set of ids was first seen, on the clock of its user. */
+/** When each of a changing set of ids was first seen, by the times that the caller passes in. */
 export class FirstSeenTimes {
   readonly #atMs = new Map<string, number>()
 
-  /** Takes in new ids and forgets those that are no longer among them. */
+  /** Adds new ids and forgets those that are no longer in the set. */
   update(ids: ReadonlySet<string>, nowMs: number): void {
     for (const id of this.#atMs.keys()) {
       if (!ids.has(id)) this.#atMs.delete(id)
@@ -12,7 +12,7 @@
     }
   }
 
-  /** Ids that were first seen at least this long ago. */
+  /** Lists the ids that were first seen at least `ageMs` ago. */
   listOlderThan(ageMs: number, nowMs: number): string[] {
     return [...this.#atMs].flatMap(([id, atMs]) => (nowMs - atMs >= ageMs ? [id] : []))
   }
--- a/batch/service/src/housekeeper.ts
+++ b/batch/service/src/housekeeper.ts
@@ -1,19 +1,19 @@
-/** Forgets what nobody asks for any more: jobs that ended long ago, and lives of upstreams that have left. */
+/** Removes records whose retention has expired: jobs that ended long ago, and upstreams that have left. */
 import type { BatchState, Command } from '@nettlespur/batch.state'
 import type { Clock } from '@nettlespur/core.clock'
 import { FirstSeenTimes } from './firstSeenTimes.js'
 
-/** A look goes over all jobs; they are kept for minutes, so a second more or less does not matter. */
+/** A clean-up scans all jobs. They are kept for minutes, so a second more or less does not matter. */
 const cleanupIntervalMs = 1000
-/** Longer than an announcement can be under way, so that a late one does not bring the life back. */
+/** Longer than an announcement can be in transit, so that a late one does not bring the upstream back. */
 const leftUpstreamRetentionMs = 600_000
 
 export interface HousekeeperOptions {
   clock: Clock
-  /** How long an ended job is still shown. */
+  /** How long a job stays readable after it has ended. */
   keepEndedMs: number
   getState: () => BatchState
-  /** False where the command was not committed, which is tried again at the next look. */
+  /** Resolves to false if the command was not committed; the next clean-up tries again. */
   tryPropose: (command: Command) => Promise<boolean>
 }
 
@@ -27,7 +27,7 @@
     this.#opts = opts
   }
 
-  /** To be called often; does nothing where the last look was a moment ago. */
+  /** Does nothing if the last clean-up was less than `cleanupIntervalMs` ago, so it may be called often. */
   async cleanUp(): Promise<void> {
     const nowMs = this.#opts.clock.monotonicMs()
     if (nowMs - this.#lastCleanupMs < cleanupIntervalMs) return
@@ -51,7 +51,7 @@
   return ended
 }
 
-/** Those that still hold runs are kept until these have ended. */
+/** Upstreams that have left and hold no runs; the others are kept until their runs have ended. */
 function listLeftUpstreams({ upstreams, placements }: BatchState): Set<string> {
   const left = new Set<string>()
   for (const [upstreamId, { hasLeft }] of upstreams) {
--- a/batch/service/src/index.ts
+++ b/batch/service/src/index.ts
@@ -1,4 +1,4 @@
-/** Batch work over the members of control: the replicated state, the leader's work, and calls to the leader. */
+/** Batch scheduling on the control members: replicated state, the leader's work, and the client that calls the leader. */
 export {
   BatchApi,
   type JobCall,
--- a/batch/service/src/jobClock.ts
+++ b/batch/service/src/jobClock.ts
@@ -1,6 +1,7 @@
 /**
- * When this member first saw each job, and whether its end was reported. Every member keeps one, so that the next leader
- * knows how long each job has waited: taken for new, a job that is about to be late would wait behind others.
+ * When this member first saw each job, and whether the job's end was reported. Every member keeps these times, so that
+ * the next leader knows how long each job has waited; otherwise a job close to its objective would count as new and queue
+ * behind others.
  */
 import type { BatchState, Command } from '@nettlespur/batch.state'
 
@@ -8,13 +9,13 @@
   readonly acceptedAtMs = new Map<string, number>()
   readonly #ended = new Set<string>()
 
-  /** To be called after each applied command, on every member. */
+  /** Call it after each applied command, on every member. */
   noteApplied(command: Command, { jobs }: BatchState, nowMs: number): void {
     if (command.type === 'submit-job') this.#note(command.request.jobId, nowMs)
     if (command.type === 'forget-jobs') this.#keepOnly(jobs)
   }
 
-  /** Takes in jobs that came with a snapshot, as accepted now. */
+  /** Adds jobs that came with a snapshot, as accepted now, and forgets jobs that the state no longer holds. */
   update({ unsettled, jobs }: BatchState, nowMs: number): void {
     for (const jobId of unsettled.keys()) this.#note(jobId, nowMs)
     if (this.acceptedAtMs.size > jobs.size) this.#keepOnly(jobs)
@@ -24,7 +25,7 @@
     return nowMs - (this.acceptedAtMs.get(jobId) ?? nowMs)
   }
 
-  /** True the first time: ends of its runs may be committed side by side. */
+  /** Returns true only the first time, since ends of the job's runs may be committed concurrently. */
   noteEnded(jobId: string): boolean {
     const isNew = !this.#ended.has(jobId)
     this.#ended.add(jobId)
--- a/batch/service/src/leaderApi.ts
+++ b/batch/service/src/leaderApi.ts
@@ -1,4 +1,4 @@
-/** What the leader answers to entries, operators and upstreams. Reads are confirmed by a quorum. */
+/** The batch API as the leader serves it to entries, operators and upstreams. Reads are confirmed by a quorum. */
 import type { Announcement, ClusterConfig, JobState } from '@nettlespur/batch.model'
 import {
   describeJob,
@@ -19,7 +19,7 @@
 import { describeStep } from './describeStep.js'
 import { createUnknownRouteError, authorizeCall, type AuthorizedCall } from './authorizeCall.js'
 
-/** The first configuration comes within seconds of the first start. */
+/** Short, since the first configuration arrives within seconds of the first start. */
 const configRetryAfterMs = 500
 
 export interface LeaderApiOptions {
@@ -141,7 +141,7 @@
     return this.#opts.getState()
   }
 
-  /** Errors: throws `no-quorum` and `not-leader`. */
+  /** Waits until a quorum confirms that the local state is up to date. Errors: throws `no-quorum` and `not-leader`. */
   async #confirmRead(): Promise<void> {
     const { clock, raft, metrics } = this.#opts
     const startMs = clock.monotonicMs()
@@ -165,7 +165,7 @@
     })
   }
 
-  /** What the state refuses is looked up again once it is sure to be the newest. */
+  /** Authorizes the call. A refusal may rest on stale state, so it is checked again after a confirmed read. */
   async #authorize(call: QueueCall, pathSuffix: string): Promise<AuthorizedCall> {
     const known = authorizeCall(this.#requireConfig(), call, pathSuffix)
     if (!(known instanceof NettlespurError)) return known
--- a/batch/service/src/leaderCaller.ts
+++ b/batch/service/src/leaderCaller.ts
@@ -1,4 +1,4 @@
-/** One try of a call: at the member believed to lead, or after a search for it. */
+/** Makes one attempt of a call at the presumed leader, after a search if none is known. */
 import { setDeadline, type Clock, type Timer } from '@nettlespur/core.clock'
 import { NettlespurError, toNettlespurError, unwrap } from '@nettlespur/core.errors'
 import { callPeer, type CallLimits } from '@nettlespur/rpc.peer'
@@ -12,13 +12,13 @@
 export interface LeaderCallerOptions {
   clock: Clock
   finder: LeaderFinder
-  /** Set where this process is a member itself. */
+  /** Set if this process is a member itself. */
   local?: { readonly address: string; readonly api: BatchApi } | undefined
 }
 
 export interface AttemptOptions {
   readonly trace: CallTrace
-  /** How long it may wait for a leader to be found. */
+  /** How long the attempt may wait for a leader to be found. */
   readonly searchMs: number
   readonly limits: CallLimits
 }
@@ -30,7 +30,7 @@
     this.#opts = opts
   }
 
-  /** Never rejects. */
+  /** Makes one attempt. Never rejects: errors are returned. */
   async tryOnce<T>(operation: Operation<T>, opts: AttemptOptions): Promise<AttemptResult<T>> {
     const { finder } = this.#opts
     const { trace, searchMs, limits } = opts
@@ -40,12 +40,12 @@
     return finder.outage.createRefusal()
   }
 
-  /** Whether a call would be sent to a member now. */
+  /** Whether a call would be sent to a member at once, without a search. */
   get isLeaderKnown(): boolean {
     return this.#opts.finder.leaderAddress !== undefined
   }
 
-  /** What a call that comes now is told at once; undefined where it may still be answered in time. */
+  /** The refusal for a call that arrives in a long outage; undefined if the call may still be answered in time. */
   createEarlyRefusal(): NettlespurError | undefined {
     const { outage } = this.#opts.finder
     if (this.isLeaderKnown || !outage.isLong) return undefined
@@ -85,7 +85,7 @@
     return callPeer(() => operation.remote(finder.getClient(address).call.batch, limits))
   }
 
-  /** A member that says nothing for so long may lead no more: the next try asks who does. */
+  /** Suspects the member if it stays silent for `silentAfterMs`, so that the next attempt searches for the leader. */
   #startSilenceTimer(address: string, { silentAfterMs }: CallLimits): Timer | undefined {
     if (silentAfterMs === undefined) return undefined
     const { clock, finder } = this.#opts
@@ -95,11 +95,11 @@
     })
   }
 
-  /** Any other refusal is the leader's own answer. */
+  /** Drops the presumed leader, unless the error is the leader's own answer. */
   #handleFailure(address: string, error: NettlespurError): void {
     const { finder } = this.#opts
     if (isFinal(error) || finder.leaderAddress !== address) return
-    // Without an answer too: followers name a leader that was killed until they elect another.
+    // A member that gave no answer is rejected too: followers name a killed leader until they elect another.
     finder.rejectLeader(
       address,
       error.kind === 'not-leader' ? error.hint : undefined,
--- a/batch/service/src/leaderClient.ts
+++ b/batch/service/src/leaderClient.ts
@@ -1,7 +1,7 @@
 /**
- * Calls the leader from wherever it is asked. It remembers who leads, asks all members it knows of where
- * that one does not answer, and goes on until the call's time is up. What is told then is true: a call that
- * may have reached a leader ends as `outcome-unknown`, and any other as not run.
+ * The client of the batch API, for any process. It remembers the leader, searches for one among all known members if it
+ * does not answer, and retries until the call's time is up. The error then tells whether the call has run: one that may
+ * have run ends as `outcome-unknown`, any other with an error that says that it has not.
  */
 import type { Announcement, ClusterConfig, JobState } from '@nettlespur/batch.model'
 import type { Member } from '@nettlespur/consensus.raft'
@@ -16,8 +16,9 @@
 import { OperationRunner, type OperationRunnerOptions } from './operationRunner.js'
 
 /**
- * A member that reaches no leader may be cut off while others follow one, and the upstream tries the next member at once:
- * what it has to say, that it is about to leave above all, then arrives a second sooner for each such member.
+ * How long a member that forwards an announcement waits for a leader. The member may be partitioned from a leader that
+ * others reach, and the upstream tries the next member at once after a refusal: with the usual wait, its announcement,
+ * most urgently that it is about to leave, would arrive a second later for each such member.
  */
 const announcePatienceMs = 200
 
@@ -37,22 +38,22 @@
     this.#runner = new OperationRunner({ ...opts, finder: this.#finder, log: this.#log })
   }
 
-  /** The leader's peer address, where one has answered as such. */
+  /** The peer address of the presumed leader; undefined if none is known. */
   get leaderAddress(): string | undefined {
     return this.#finder.leaderAddress
   }
 
-  /** False while no member has answered for some seconds; true unless `watch` runs. */
+  /** False while no member has answered for some seconds. Always true unless `watch` runs. */
   get canReachMembers(): boolean {
     return this.#watch.canReachMembers
   }
 
-  /** Keeps the way to the leader fresh until `signal` is aborted. */
+  /** Checks the leader and the connection to it at regular intervals until `signal` is aborted. */
   watch(signal: AbortSignal): Promise<void> {
     return this.#watch.run(signal)
   }
 
-  /** The settings name other members to begin with. */
+  /** Replaces the member addresses from the settings, which every search includes. */
   replaceSeeds(seeds: readonly string[]): void {
     this.#finder.replaceSeeds(seeds)
   }
--- a/batch/service/src/leaderFinder.ts
+++ b/batch/service/src/leaderFinder.ts
@@ -1,6 +1,6 @@
 /**
- * Finds out which member leads, and keeps one connection to each member asked. However many calls wait, one search at a
- * time runs, with drawn pauses, and the calls wait for its word.
+ * Finds the leader, and keeps one connection to each member. One search runs at a time, with random pauses between
+ * searches, and all waiting calls share its result.
  */
 import { setDeadline, waitFor, type Clock, type Timer } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
@@ -17,8 +17,8 @@
 import { RefutedClaims } from './refutedClaims.js'
 
 /**
- * Once a majority has answered and none of it leads, the others are given this long: a suspended leader never answers,
- * and each search would take the whole 300 ms while the next one is being elected. One that is slow is taken late.
+ * How long a search waits for the remaining members once a majority has answered and no leader is among them. A suspended
+ * leader never answers and would prolong each search to 300 ms during the next election. Late answers still count.
  */
 const stragglerWaitMs = 50
 
@@ -26,18 +26,18 @@
   clock: Clock
   logger: Logger
   peerKey: string
-  /** Members to ask first. */
+  /** Addresses of members that every search asks. */
   seeds: readonly string[]
-  /** Of one call to one member. */
+  /** Timeout of one call to one member. */
   callTimeoutMs: number
   /** A number in [0, 1); Math.random by default. */
   random?: (() => number) | undefined
-  /** As for any client of a peer. */
+  /** Passed on to the RPC clients of the members. */
   compresses?: boolean | undefined
 }
 
 export class LeaderFinder {
-  /** What is known of the time without a leader. */
+  /** The current time without a known leader. */
   readonly outage: LeaderOutage
   readonly #opts: LeaderFinderOptions
   readonly #clients: MemberClients
@@ -45,9 +45,9 @@
   #members: readonly string[] = []
   readonly #leader = new BehaviorSubject<string | undefined>(undefined)
   #leaderSinceMs = 0
-  /** Of the belief, where a member named it with one. */
+  /** The term in which a member named the leader; undefined if it was learned otherwise. */
   #leaderTerm: number | undefined
-  /** No other member's word brings these back; only the member's own does. */
+  /** Claims that only the member itself can renew; another member that repeats one is ignored. */
   readonly #refuted = new RefutedClaims()
   readonly #closing = new AbortController()
   #waiters = 0
@@ -55,9 +55,9 @@
   /** When each member last answered. */
   readonly #answeredAtMs = new Map<string, number>()
   #searchDone: Promise<void> | undefined
-  /** The one that runs. */
+  /** The search that is running. */
   #currentSearch: LeaderSearch | undefined
-  /** When the last look at the leader ended. */
+  /** When the last check by `refresh` ended. */
   #lastCheckMs = -Infinity
 
   constructor(opts: LeaderFinderOptions) {
@@ -68,7 +68,7 @@
     setMaxListeners(0, this.#closing.signal)
   }
 
-  /** Who is believed to lead. */
+  /** The presumed leader; undefined while none is known. */
   get leaderAddress(): string | undefined {
     return this.#leader.value
   }
@@ -82,7 +82,7 @@
     this.#clients.close()
   }
 
-  /** `reason` is for the log. */
+  /** Sets or clears the presumed leader. `reason` is for the log. */
   setLeader(address: string | undefined, reason: string, term?: number): void {
     const before = this.leaderAddress
     if (before === address) return
@@ -93,7 +93,10 @@
     this.#leader.next(address)
   }
 
-  /** The member gave no answer, or one that denies that it leads and may name who does. */
+  /**
+   * Drops the presumed leader if it is this member, which failed to answer or said that it does not lead. The member that
+   * it names takes its place, unless that one was refuted before.
+   */
   rejectLeader(address: string, namedAddress: string | undefined, reason: string): void {
     if (this.leaderAddress !== address || namedAddress === address) return
     this.#refuted.add(address, this.#leaderTerm)
@@ -101,7 +104,7 @@
     this.setLeader(isCredible ? namedAddress : undefined, reason)
   }
 
-  /** The leader as soon as one is found; undefined after `waitMs`, or once `unwanted` is aborted. */
+  /** Returns the leader once one is found; undefined after `waitMs`, or once `unwanted` is aborted. */
   async awaitLeader(waitMs: number, unwanted?: AbortSignal): Promise<string | undefined> {
     const signal = AbortSignal.any([this.#closing.signal, ...(unwanted ? [unwanted] : [])])
     this.#waiters += 1
@@ -112,7 +115,7 @@
     return this.leaderAddress
   }
 
-  /** One task however many wait: searches until a leader is found or nobody waits any more. */
+  /** Searches until a leader is found or no call waits any more. All waiting calls share one loop. */
   async #searchWhileAwaited(): Promise<void> {
     if (this.#isSearching) return
     this.#isSearching = true
@@ -129,45 +132,45 @@
   }
 
   /**
-   * The member was called at `sinceMs` and nothing has come from it: who leads is asked anew, and until it answers by
-   * itself no other's word counts for it. Its followers name a leader that is suspended for 700 ms more: in one such
-   * outage six of eight processes believed them, and learned of the next leader 0.2 to 0.5 s after its election.
+   * Drops the presumed leader if it has not answered since `sinceMs`. Until it answers itself, other members that name it
+   * are ignored: followers go on naming a suspended leader for 700 ms, and a client that believed them would learn of the
+   * next leader 0.2 to 0.5 s after its election.
    */
   suspectLeader(address: string, sinceMs: number): void {
     const answeredAtMs = this.#answeredAtMs.get(address) ?? -Infinity
     if (answeredAtMs <= sinceMs) this.rejectLeader(address, undefined, `${address} has been silent`)
   }
 
-  /** What is known of a member before it is called. */
+  /** Describes for the log what is known of the leader that is about to be called. */
   describeBelief(address: string): LeaderBelief {
     const nowMs = this.#opts.clock.monotonicMs()
     const answeredAtMs = this.#answeredAtMs.get(address) ?? this.#leaderSinceMs
     return { address, ageMs: nowMs - this.#leaderSinceMs, quietMs: nowMs - answeredAtMs }
   }
 
-  /** The member answered, whatever it said. */
+  /** Records that the member answered, whatever the answer. */
   recordAnswer(address: string): void {
     this.#answeredAtMs.set(address, this.#opts.clock.monotonicMs())
   }
 
-  /** The member did what only a leader does; it may have been doubted meanwhile. */
+  /** Records an answer that only a leader gives, and restores the leader if it was suspected meanwhile. */
   recordLeaderAnswer(address: string): void {
     this.recordAnswer(address)
     if (this.leaderAddress === undefined) this.setLeader(address, 'it answered as the leader')
   }
 
-  /** Since any member answered, in milliseconds; undefined where none has yet. */
+  /** Time since any member last answered, in milliseconds; undefined if none has yet. */
   get quietMs(): number | undefined {
     const answeredAtMs = Math.max(...this.#answeredAtMs.values())
     return answeredAtMs === -Infinity ? undefined : this.#opts.clock.monotonicMs() - answeredAtMs
   }
 
-  /** Makes sure of a leader that has been quiet for `quietMs`. False where no member answers. */
+  /** Checks a leader that has been quiet for `quietMs`, or searches for one. Returns false if no member answers. */
   async refresh(quietMs: number): Promise<boolean> {
     const sinceMs = this.#lastCheckMs
     const isAnswered = await this.#checkLeader(quietMs)
     this.#lastCheckMs = this.#opts.clock.monotonicMs()
-    // Answers that came after the look before had ended count too: a slow member is no silent one.
+    // Answers since the end of the previous check count too: a slow member is not a silent one.
     return (
       isAnswered || [...this.#answeredAtMs.values()].some((answeredAtMs) => answeredAtMs > sinceMs)
     )
@@ -180,13 +183,13 @@
       const view = await this.#queryMember(address)
       if (view?.leaderAddress === address) return true
       const isDenied = view !== undefined && this.leaderAddress === address
-      if (isDenied) this.setLeader(undefined, 'it does not say that it leads')
+      if (isDenied) this.setLeader(undefined, 'it does not claim to lead')
     }
     await this.#joinSearch()
     return false
   }
 
-  /** Asks all members known; who comes meanwhile shares the search. */
+  /** Starts a search, or joins the one that is running. */
   #joinSearch(): Promise<void> {
     this.#searchDone ??= this.#runSearch().finally(() => {
       this.#searchDone = undefined
@@ -198,7 +201,7 @@
     const addresses = [...new Set([...this.#seeds, ...this.#members])]
     const search = new LeaderSearch(addresses)
     this.#currentSearch = search
-    // A member that is down would cost 300 ms: a read on a silent connection 620 ms, not 320 (manual clock).
+    // Ends the search early: otherwise one member that is down prolongs it by up to 300 ms.
     let stragglers: Timer | undefined
     await new Promise<void>((resolve) => {
       const asked = addresses.map(async (address) => {
@@ -215,7 +218,7 @@
     stragglers?.cancel()
     this.#currentSearch = undefined
     this.outage.recordSearch(search.describe())
-    // Nothing was learnt: who was believed to lead may be as slow as the others.
+    // Without any answer the presumed leader is kept: it may only be as slow as the others.
     if (search.isUnanswered) return
     const { memberAddresses } = search
     if (memberAddresses.length > 0) this.#members = memberAddresses
@@ -230,14 +233,14 @@
     })
   }
 
-  /** It may come after the search that asked for it: then it counts for the one that runs, or by itself. */
+  /** Accepts a member's claim to lead. If its search has ended, the claim counts for the running search, or by itself. */
   #acceptSelfClaim(address: string, view: LeaderView): void {
     if (this.#currentSearch !== undefined) this.#currentSearch.addView(address, view)
     else if (this.leaderAddress === undefined)
-      this.setLeader(address, 'it says late that it leads', view.term)
+      this.setLeader(address, 'its claim to lead arrived after the search', view.term)
   }
 
-  /** The connection to one member. */
+  /** The RPC client for one member. */
   getClient(address: string): RpcClient<BatchRouter> {
     return this.#clients.get(address)
   }
--- a/batch/service/src/leaderOutage.ts
+++ b/batch/service/src/leaderOutage.ts
@@ -1,26 +1,25 @@
 /**
- * How long nobody has been known to lead, and what callers are told of it. A call that comes early waits, since an
- * election is short; one that comes once the outage has outlasted that is refused at once, so that its caller need not
- * wait for what is known already.
+ * Measures how long no leader has been known, and creates the refusals of callers. A call early in an outage waits, since
+ * an election is short; once the outage has outlasted an election, calls are refused at once.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { Logger } from '@nettlespur/core.logger'
 
 /**
- * An election takes 0.7 to 1.1 s from the leader's last word, and a second one follows where the first found no
- * majority. A call that comes before may still be answered; what lasts longer waits for a restart or the end of a cut.
+ * An election takes 0.7 to 1.1 s from the leader's last message, and a second one follows if the first finds no majority.
+ * A call that arrives before may still be answered; a longer outage ends only with a restart or the end of a partition.
  */
 export const electionWindowMs = 2000
-/** A search that ended longer ago says nothing of now. */
+/** A search that ended longer ago tells nothing about the present. */
 const searchFreshMs = 1000
-/** Most elections are over by then. */
+/** Most elections are over after this time. */
 const retryAfterMsMin = 500
-/** An outage beyond an election ends with a restart or a cut; asking again is cheap, and an answer late is not. */
+/** Kept short: a caller's retry is cheap, and a late answer is not. */
 const retryAfterMsMax = 2000
-/** Callers that are refused in the same moment come back spread over this share of their wait. */
+/** Jitter: callers refused at the same moment retry spread over this share of their delay. */
 const jitterShare = 0.4
-/** The log tells of an outage after this long, and then each time it has lasted twice as long. */
+/** An outage is logged after this long, and again each time it has lasted twice as long. */
 const firstLogMs = 1000
 
 export interface LeaderOutageOptions {
@@ -42,7 +41,7 @@
     this.#sinceMs = opts.clock.monotonicMs()
   }
 
-  /** In milliseconds; 0 while a leader is known. */
+  /** How long the outage has lasted; 0 while a leader is known. */
   get durationMs(): number {
     return this.#sinceMs === undefined ? 0 : this.#opts.clock.monotonicMs() - this.#sinceMs
   }
@@ -61,7 +60,7 @@
     this.#sinceMs = undefined
   }
 
-  /** A search has ended; `heard` is for the log. */
+  /** Records that a search has ended. `heard` says for the log which members answered. */
   recordSearch(heard: string): void {
     this.#searches += 1
     this.#searchedMs = this.#opts.clock.monotonicMs()
@@ -71,20 +70,20 @@
     this.#opts.logger.warn({ event: 'leader.missing', missingMs, searches: this.#searches, heard })
   }
 
-  /** A search has just found nobody, and the outage has lasted longer than elections do. */
+  /** Whether the outage has outlasted an election and a recent search has found no leader. */
   get isLong(): boolean {
     const isFresh = this.#opts.clock.monotonicMs() - this.#searchedMs < searchFreshMs
     return this.#sinceMs !== undefined && isFresh && this.durationMs > electionWindowMs
   }
 
-  /** What a caller is told whose call has not run. */
+  /** The error for a call that has not run because no leader is known. */
   createRefusal(): NettlespurError {
     return new NettlespurError('not-leader', 'no member leads', {
       retryAfterMs: this.#computeRetryAfterMs(),
     })
   }
 
-  /** As long again as half of the outage so far: what has lasted longer is expected to last longer. */
+  /** Half of the outage so far, within limits: the longer it has lasted, the longer it is expected to go on. */
   #computeRetryAfterMs(): number {
     const expectedMs = Math.min(retryAfterMsMax, this.durationMs / 2)
     if (expectedMs <= retryAfterMsMin * 2) return retryAfterMsMin
--- a/batch/service/src/leaderSearch.ts
+++ b/batch/service/src/leaderSearch.ts
@@ -1,10 +1,10 @@
 /**
- * What members have answered so far to the question who leads, and whether more answers could change it. A member's
- * own word goes before what others say of it: one that has stepped down is still named by those that it led.
+ * Collects the members' answers in one search for the leader, and tells whether further answers could change the result.
+ * A member's own answer overrides the claims of others: former followers still name a leader that has stepped down.
  */
 import type { LeaderView } from './batchApi.js'
 
-/** That a member leads in a term, by its own word or another's. */
+/** A statement, by the member itself or by another, that a member leads in a term. */
 export interface LeaderClaim {
   readonly address: string
   readonly term: number
@@ -24,8 +24,8 @@
   }
 
   /**
-   * The leader of the newest term says so itself, and a majority of all that were asked or are its members
-   * knows of no later term: a later leader would have had to be elected by one of them.
+   * Whether further answers cannot change the result: a member claims to lead in the newest term seen, and a majority of
+   * all asked members and the members of its group has answered. A later leader would have needed a vote of one of them.
    */
   get isDecided(): boolean {
     const views = [...this.#views]
@@ -38,7 +38,7 @@
     return views.length > all.size / 2
   }
 
-  /** More than half of those that were asked have answered. */
+  /** Whether more than half of the asked members have answered. */
   get hasMajority(): boolean {
     return this.#views.size > this.#asked.length / 2
   }
@@ -47,7 +47,7 @@
     return this.#views.size === 0
   }
 
-  /** Named by the newest term that names one and was not refuted; `isRefuted` knows of earlier searches and calls. */
+  /** The claim of the newest term that is not refuted. `isRefuted` knows those refuted by earlier searches and calls. */
   findLeader(isRefuted: (claim: LeaderClaim) => boolean): LeaderClaim | undefined {
     const claims = [...this.#views].flatMap(([by, { leaderAddress: address, term }]) =>
       address === undefined ? [] : [{ address, term, isSelfClaim: by === address }],
@@ -62,7 +62,7 @@
     return validClaims[0]
   }
 
-  /** The member that is named has answered by itself, in that term or a later one, and does not say that it leads. */
+  /** Whether the named member itself has answered in that term or a later one without claiming to lead. */
   #isDenied({ address, term }: LeaderClaim): boolean {
     const own = this.#views.get(address)
     return own !== undefined && own.leaderAddress !== address && own.term >= term
@@ -72,7 +72,7 @@
     return [...new Set([...this.#views.values()].flatMap(({ memberAddresses }) => memberAddresses))]
   }
 
-  /** For the log. */
+  /** How many members answered, and which did not, for the log. */
   describe(): string {
     const silent = this.#asked.filter((address) => !this.#views.has(address))
     const heard = `${this.#views.size} of ${this.#asked.length} members answered`
--- a/batch/service/src/leaderWatch.ts
+++ b/batch/service/src/leaderWatch.ts
@@ -1,18 +1,18 @@
 /**
- * Keeps the way to the leader fresh while nobody calls. A process that is idle learns of a silent connection, of
- * another leader and of its own isolation here, and not from the first caller that waits for it.
+ * Checks the leader while no calls are made, so that an idle process detects a dead connection, a new leader or its own
+ * isolation before the next call has to wait for it.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
 import type { LeaderFinder } from './leaderFinder.js'
 
-/** A leader that answered a call within this time is not asked; an idle process costs it one small call a second. */
+/** A leader that has answered within this time is not asked; an idle process costs it one small call a second. */
 const checkIntervalMs = 1000
-/** Between looks after one that nobody answered. */
+/** Interval after a check that no member answered. */
 const unansweredIntervalMs = 500
-/** Between looks while members answer and none leads: calls are refused on the word of the last look. */
+/** Interval while members answer but none leads. Short, because calls are refused on the result of the last check. */
 const leaderlessIntervalMs = 250
-/** Looks in a row that nobody answered: about 2.5 s, more than the 2 s in which a group without a leader elects one. */
+/** Unanswered checks in a row, about 2.5 s: more than the 2 s in which a group without a leader elects one. */
 const missesMax = 3
 
 export interface LeaderWatchOptions {
@@ -30,12 +30,12 @@
     this.#finder = finder
   }
 
-  /** False once no member at all has answered several looks; a member that knows no leader counts as an answer. */
+  /** False once several checks in a row got no answer at all. The answer of a member that knows no leader counts. */
   get canReachMembers(): boolean {
     return this.#misses < missesMax
   }
 
-  /** One task, until `signal` is aborted. */
+  /** Runs the checks until `signal` is aborted. Call it once. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const isAnswered = await this.#finder.refresh(checkIntervalMs)
--- a/batch/service/src/listAffectedJobs.ts
+++ b/batch/service/src/listAffectedJobs.ts
@@ -1,4 +1,4 @@
-/** The jobs of which a command may have left runs that are to be stopped. */
+/** Lists the jobs that may have runs to stop after a command was applied. */
 import type { Command } from '@nettlespur/batch.state'
 
 export function listAffectedJobs(command: Command): ReadonlySet<string> {
--- a/batch/service/src/listEvacuees.ts
+++ b/batch/service/src/listEvacuees.ts
@@ -1,12 +1,12 @@
 /**
- * Which runs are stopped because their upstream leaves before they can end. Without checkpoints the work is
- * lost either way, so they begin again elsewhere at once; with them they work on until shortly before.
+ * Lists the runs to stop because their upstream leaves before they can end. Without checkpoints the work is lost in any
+ * case, so such a run restarts elsewhere at once; with checkpoints it continues until shortly before the upstream leaves.
  */
 import type { Placement } from '@nettlespur/batch.state'
 import { listRuns, type ListRunsOptions } from './buildSchedulerView.js'
 import type { LeavingUpstream } from './announcementTable.js'
 
-/** For an order of 1 to 2 ms and a stop of 400 ms, twice, and a round of decisions each 500 ms. */
+/** Twice the time to stop a run (1 to 2 ms for the order, 400 ms for the stop), and the 500 ms between rounds. */
 const checkpointStopMarginMs = 1500
 
 export function listEvacuees(
--- a/batch/service/src/memberClients.ts
+++ b/batch/service/src/memberClients.ts
@@ -1,4 +1,4 @@
-/** The connections to the members, and the question whom each says to lead. */
+/** The connections to the members, and the query that asks a member which one leads. */
 import type { Clock } from '@nettlespur/core.clock'
 import { toNettlespurError } from '@nettlespur/core.errors'
 import type { Logger } from '@nettlespur/core.logger'
@@ -7,7 +7,7 @@
 import type { BatchRouter } from './createBatchRouter.js'
 import type { LeaderFinderOptions } from './leaderFinder.js'
 
-/** A member answers who leads from memory; over links of 1 ms this leaves room for a lost packet. */
+/** A member answers from memory; over links of 1 ms this leaves time to resend a lost packet. */
 const locateTimeoutMs = 300
 
 export class MemberClients extends RpcClients<BatchRouter> {
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Whom the member says to lead; undefined where it says nothing in time. `onAnswer` is told of a late answer too. A
-   * member that says nothing may be up behind a connection gone silent: the next question opens another.
+   * Asks a member for its view of the leader. Returns undefined if it does not answer in time; a late answer still goes
+   * to `onAnswer`. A member that does not answer may be up behind a dead connection, so the next query opens a new one.
    */
   async queryLeader(
     address: string,
--- a/batch/service/src/operationRunner.ts
+++ b/batch/service/src/operationRunner.ts
@@ -1,4 +1,4 @@
-/** Sends one call to whoever leads until it has an answer or its time is up, and tells the log of it. */
+/** Sends one call to the current leader, retries it until it has an answer or its time is up, and logs the outcome. */
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError, toNettlespurError, tryAsync } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
@@ -11,20 +11,23 @@
 import type { Operation } from './operation.js'
 import { answerMarginMs, runHedgedRead } from './runHedgedRead.js'
 
-/** Before a further try: an instance just elected names itself, and only pauses let it get ready; each is longer. */
+/** Backoff between attempts. A leader just elected already names itself but needs time before it accepts calls. */
 const initialBackoffMs = 20
 const maxBackoffMs = 160
 const backoffFactor = 2
 
-/** Members that are up answer a search within 300 ms, and searches come several a second while nobody is known to lead. */
+/**
+ * Without an answer from any member for this long, none is taken to be reachable. Members that are up answer a search
+ * within 300 ms, and several searches a second run while no leader is known.
+ */
 const membersSilentAfterMs = 1000
 
-/** After so long without a leader it is looked at anew whether the call is still worth its wait. */
+/** The longest wait for a leader in one attempt; then the time limit and the caller's presence are checked again. */
 const searchSliceMs = 400
 
 export interface OperationRunnerOptions
   extends LeaderFinderOptions, LeaderCallerOptions, CallLogOptions {
-  /** Of the whole call. */
+  /** How long a call is retried; longer only for a read or a call that may have run, while the caller waits. */
   patienceMs: number
   log: CallLog
 }
@@ -67,7 +70,7 @@
     return runHedgedRead({ clock, patienceMs, caller: this.#caller, operation, trace })
   }
 
-  /** One try after the other: what may change something is never under way twice from here. */
+  /** Runs one attempt after the other, so that this process never has a change in flight twice. */
   async #runSequentially<T>(operation: Operation<T>, trace: CallTrace): Promise<T> {
     let mayHaveRun = false
     let backoffMs = initialBackoffMs
@@ -87,9 +90,9 @@
   }
 
   /**
-   * How long the call may take. What has surely not run is told soon, with when to come back. What may have run is sent
-   * again for as long as the caller waits and members answer: under its id it runs once, so a whole answer takes the
-   * place of a doubt that the caller could not settle either. Where no member answers, another entry may do better.
+   * How long the call may take. If it has certainly not run, the caller soon gets the refusal and its retry delay. If it
+   * may have run, it is retried for as long as the caller waits and members answer: it is idempotent, and a definite
+   * answer spares the caller an unknown outcome. If no member answers, the caller may have more luck at another entry.
    */
   #computeTimeLimitMs(
     operation: Operation<unknown>,
@@ -107,7 +110,7 @@
   }
 }
 
-/** What is told once the time of a call is up. */
+/** The error that the caller gets once the time of its call is up. */
 function toFinalError(last: NettlespurError, mayHaveRun: boolean): NettlespurError {
   if (!mayHaveRun) return last
   return new NettlespurError('outcome-unknown', last.message, { cause: last })
--- a/batch/service/src/proposer.ts
+++ b/batch/service/src/proposer.ts
@@ -1,4 +1,4 @@
-/** Proposes commands; what a proposal became is told once it is applied here. */
+/** Proposes a command for the replicated log; resolves with its outcome once it is applied on this member. */
 import type { Command, CommandOutcome } from '@nettlespur/batch.state'
 import type { NettlespurError } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
--- a/batch/service/src/readSummary.ts
+++ b/batch/service/src/readSummary.ts
@@ -1,8 +1,8 @@
-/** The reads of one sort that were answered within a second, for one line of the log. */
+/** The reads of one operation that were answered within a second, summarised in one log line. */
 import type { LogEvent } from '@nettlespur/core.logger'
 import type { CallTrace } from './callTrace.js'
 
-/** An entry is asked for 15 to 69 jobs in the busiest second of a day; a line stays below 3 KB. */
+/** Bounds a line to 3 KB. An entry reads 15 to 69 jobs in the busiest second of a day. */
 const subjectsMax = 150
 
 export class ReadSummary {
--- a/batch/service/src/recordFaultReporter.ts
+++ b/batch/service/src/recordFaultReporter.ts
@@ -1,14 +1,14 @@
 /**
- * Tells of records of other writers that were left out: all are counted, and each sender and kind of fault gets one
- * line a minute, so that a sender that goes on for hours fills neither the log nor the memory.
+ * Reports records of other writers that were ignored as invalid. All are counted, and each sender and kind of fault is
+ * logged once a minute, so that a sender that goes on for hours fills neither the log nor the memory.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
 import type { MetricsRegistry } from '@nettlespur/core.metrics'
 
-/** Time between two lines of the same sender and kind. */
+/** Interval between log lines for the same sender and kind. */
 const reportIntervalMs = 60_000
-/** Senders and kinds that are told apart in that time; further ones are only counted. */
+/** Pairs of sender and kind that are logged within one interval; further ones are only counted. */
 const trackedMax = 500
 const senderCharactersMax = 64
 const reasonCharactersMax = 200
@@ -18,10 +18,10 @@
 
 export interface RecordFault {
   readonly kind: RecordFaultKind
-  /** Who sent it, as it names itself. */
+  /** The sender, by the name that it gives itself. */
   readonly sender: string
   readonly reason: string
-  /** Rows, where there are several. */
+  /** Number of rows; 1 if absent. */
   readonly count?: number
 }
 
@@ -33,7 +33,7 @@
 
 export class RecordFaultReporter {
   readonly #opts: RecordFaultReporterOptions
-  /** When the last line of each sender and kind was written, the oldest first. */
+  /** When each sender and kind was last logged, the oldest first. */
   readonly #reportedAtMs = new Map<string, number>()
 
   constructor(opts: RecordFaultReporterOptions) {
--- a/batch/service/src/refutedClaims.ts
+++ b/batch/service/src/refutedClaims.ts
@@ -1,16 +1,16 @@
-/** Claims that a member leads which a call or its silence has shown to be wrong. */
+/** Claims that a member leads which a call to it has refuted, by its answer, its failure or its silence. */
 import type { LeaderClaim } from './leaderSearch.js'
 
 export class RefutedClaims {
-  /** By address, the newest term in which the member was found not to lead. */
+  /** The newest term in which each member was found not to lead, by address. */
   readonly #terms = new Map<string, number>()
 
-  /** `term` is that of the claim, where a member named it with one. */
+  /** `term` is that of the claim; 0 if it is unknown. */
   add(address: string, term = 0): void {
     this.#terms.set(address, Math.max(term, this.#terms.get(address) ?? 0))
   }
 
-  /** Whether it was refuted in that term or a later one. */
+  /** Whether the member was found not to lead in the claim's term or a later one. */
   has({ address, term }: LeaderClaim): boolean {
     const refutedTerm = this.#terms.get(address)
     return refutedTerm !== undefined && refutedTerm >= term
--- a/batch/service/src/reportEnds.ts
+++ b/batch/service/src/reportEnds.ts
@@ -1,4 +1,4 @@
-/** Log lines and counters of runs that ended, and of the jobs that ended with them. */
+/** Logs and counts runs that ended, and the jobs that ended with them. */
 import { runFields } from '@nettlespur/batch.model'
 import type { BatchState, JobRecord, RunEnd } from '@nettlespur/batch.state'
 import type { Logger } from '@nettlespur/core.logger'
@@ -9,13 +9,13 @@
   logger: Logger
   metrics: MetricsRegistry
   ends: readonly RunEnd[]
-  /** Jobs that were active before. */
+  /** Jobs of these runs that were active before the ends were committed. */
   jobs: readonly JobRecord[]
   jobClock: JobClock
   nowMs: number
 }
 
-/** The jobs of these runs that have not ended. */
+/** Lists the jobs of these runs that are still active. */
 export function listActiveJobs({ jobs }: BatchState, ends: readonly RunEnd[]): JobRecord[] {
   const jobIds = new Set(ends.map(({ jobId }) => jobId))
   return [...jobIds].flatMap((jobId) => {
@@ -24,7 +24,7 @@
   })
 }
 
-/** To be called once the ends are committed. */
+/** Call it once the ends are committed. */
 export function reportEnds({
   logger,
   metrics,
--- a/batch/service/src/retryBackoff.ts
+++ b/batch/service/src/retryBackoff.ts
@@ -1,15 +1,15 @@
 /**
- * How long a task waits before its next start where its starts came to nothing. Each such end draws on no budget, so without
- * pauses a task that every upstream refuses would be placed and refused as fast as commits go. One leader keeps them:
- * the next one begins anew, and soon pauses as long.
+ * Backoff of tasks whose runs were lost or crashed. Such ends draw on no retry budget, so without a backoff a task that
+ * every upstream refuses would be placed and refused as fast as commits allow. It is kept in the leader's memory: a new
+ * leader starts without it and soon reaches the same delays.
  */
 import { taskKey, type TaskRef } from '@nettlespur/batch.model'
 import type { RunEnd } from '@nettlespur/batch.state'
 
-/** Upstreams come and go: the first start elsewhere is not held back. */
+/** Retries without a delay: upstreams come and go, so the first start elsewhere is not held back. */
 const immediateRetries = 1
 const initialBackoffMs = 100
-/** Below the time after which callers count a job with room as held up. */
+/** Below the time after which callers take a job for delayed although resources are free. */
 const maxBackoffMs = 2000
 const retentionMs = 30_000
 
@@ -21,7 +21,7 @@
 export class RetryBackoff {
   readonly #byTask = new Map<string, FailedStarts>()
 
-  /** `nowMs` and the end of the pause are on the same clock. */
+  /** Starts or extends the backoff, on the clock of `nowMs`, if the run was lost or crashed; any other end clears it. */
   noteEnd(end: RunEnd, nowMs: number): void {
     const key = taskKey(end)
     if (end.outcome !== 'lost' && end.outcome !== 'crashed') {
@@ -41,7 +41,7 @@
     return nowMs < (this.#byTask.get(taskKey(task))?.untilMs ?? -Infinity)
   }
 
-  /** Forgets tasks whose last fruitless start is long ago: they are at work, or their jobs have ended. */
+  /** Forgets tasks whose last failed start is long ago: they are running, or their jobs have ended. */
   #prune(nowMs: number): void {
     for (const [key, { untilMs }] of this.#byTask) {
       if (nowMs - untilMs > retentionMs) this.#byTask.delete(key)
--- a/batch/service/src/runHedgedRead.ts
+++ b/batch/service/src/runHedgedRead.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a read until it has an answer. A read changes nothing, so that one without an answer is asked again
- * while the first may still be answered, and the first answer counts. It goes on within the time that the
- * caller gave where a member may still answer; where none leads the caller is told after the usual patience.
+ * Runs a read with hedged requests. A read changes nothing, so while an attempt is unanswered a further one is sent, and
+ * the first answer counts. The read goes on until the caller's deadline while a member may still answer; a refusal, such
+ * as that no member leads, is returned once `patienceMs` is over.
  */
 import { Wake, type Clock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -11,15 +11,16 @@
 import type { Operation } from './operation.js'
 
 /**
- * Many times what the slowest of a burst of reads takes; twice as long before each further question. With the whole
- * time of a call before the second question, a read over silent connections would end without an answer.
+ * The wait for an answer before a second attempt is sent; it doubles before each further one. Many times what the slowest
+ * read of a burst takes. If the second attempt waited for the whole timeout of the first, a read over dead connections
+ * would end without an answer.
  */
 const hedgeAfterMs = 300
-/** What a try learned of the leader counts for the next one, and a member just elected gets ready. */
+/** Pause after a failed attempt: gives a member that was just elected time to get ready. */
 const retryPauseMs = 20
-/** For a further question after a leader has been silent: that one is mostly found again at once. */
+/** An attempt may search this long even after `patienceMs`: a leader that was silent is mostly found again at once. */
 const searchMsMin = 300
-/** Left of the caller's time: the way back, and one more question at another entry. */
+/** Part of the caller's time that is left unused: enough to return the error and for one more call at another entry. */
 export const answerMarginMs = 500
 
 export interface HedgedReadOptions<T> {
@@ -27,11 +28,11 @@
   caller: LeaderCaller
   operation: Operation<T>
   trace: CallTrace
-  /** After this long a refusal that is certain is told. */
+  /** After this long, an error that says that the read has not run is returned. */
   patienceMs: number
 }
 
-/** Errors: rejects with the leader's own refusal, with what keeps the call from it, and `outcome-unknown`. */
+/** Errors: rejects with the leader's own refusal, with the reason why no leader was reached, and `outcome-unknown`. */
 export function runHedgedRead<T>(opts: HedgedReadOptions<T>): Promise<T> {
   return new HedgedRead(opts).run()
 }
@@ -54,7 +55,7 @@
     const { clock } = this.#opts
     try {
       for (;;) {
-        // While nobody is known to lead, one try waits for all.
+        // While an attempt searches for the leader, another would only wait for the same search.
         if (!this.#opts.trace.isSearching) void this.#sendAttempt()
         await this.#awaitResult()
         const attempts = this.#results.splice(0)
@@ -94,7 +95,7 @@
     if (this.#results.length === 0) this.#hedgeAfterMs *= 2
   }
 
-  /** Goes on after what is no answer, unless it is hopeless or nobody waits any more. */
+  /** Throws if the error is the leader's answer, if no leader was reached for `patienceMs`, or if the caller is gone. */
   #throwIfFinal(error: NettlespurError): void {
     const { trace, patienceMs } = this.#opts
     const isRefused = !isInDoubt(error) && trace.tookMs >= patienceMs
--- a/batch/service/src/schedulingRounds.ts
+++ b/batch/service/src/schedulingRounds.ts
@@ -1,6 +1,6 @@
 /**
- * Decides again and again while a leader leads: whenever something has changed, what starts where and what
- * makes room for others. Each placement is committed before its start is sent.
+ * Runs the leader's scheduling rounds: after each change, and at least every `idleRoundIntervalMs`. A round decides which
+ * tasks start where and which runs are preempted. Placements are committed before the start orders are sent.
  */
 import { runFields, runKey } from '@nettlespur/batch.model'
 import { planRound, type Preemption, type RoundDecision } from '@nettlespur/batch.scheduler'
@@ -16,15 +16,15 @@
 import type { RetryBackoff } from './retryBackoff.js'
 import type { UpstreamRoster } from './upstreamRoster.js'
 
-/** Rounds that no event asks for: quarantines end, and jobs lose hope, with time alone. */
+/** Rounds are due without an event too: as time passes, quarantines end and jobs can no longer meet their objective. */
 const idleRoundIntervalMs = 500
-/** A round that took longer is followed by a pause as long as it took: half of the time is left for calls. */
+/** A round that took longer is followed by a pause of the same length, which leaves half of the time for calls. */
 const shortRoundMs = 2
 
-/** Why a run is stopped, for the log. */
+/** Reasons for stopping a run, for the log. */
 const evacuatedReason = 'its upstream leaves before it can end'
-const guaranteedReason = 'its room is guaranteed to another job'
-const urgentReason = 'urgent work that is worth more waits for its room'
+const guaranteedReason = 'its resources are guaranteed to another job'
+const urgentReason = 'a more valuable urgent job needs its resources'
 
 export interface SchedulingRoundsOptions {
   clock: Clock
@@ -37,7 +37,7 @@
   getState: () => BatchState
   shouldStop: (placement: Placement) => boolean
   preempt: (runs: readonly Placement[]) => void
-  /** False where the command was not committed or that is not known. */
+  /** Resolves to false if the command was not committed or its outcome is unknown. */
   tryPropose: (command: Command) => Promise<boolean>
   /** Ends the rounds. */
   signal: AbortSignal
@@ -53,7 +53,7 @@
     this.#housekeeper = new Housekeeper({ ...opts, keepEndedMs: opts.timings.keepEndedMs })
   }
 
-  /** Asks for a round: something has changed that may let work start. */
+  /** Requests a round, because a change may let work start. */
   requestRound(): void {
     this.#wake.notify()
   }
@@ -95,7 +95,7 @@
     return planRound(view)
   }
 
-  /** Stops what cannot end where it is, so that it begins again elsewhere. */
+  /** Stops runs that cannot end before their upstream leaves, so that they start again elsewhere. */
   #evacuate(nowMs: number): void {
     const { roster, preempt } = this.#opts
     const runs = listEvacuees(roster.listLeaving(), this.#createRunsOptions(nowMs))
@@ -133,7 +133,7 @@
     }
   }
 
-  /** The state may have refused a placement whose job ended meanwhile. */
+  /** Sends the start order, unless the state refused the placement because its job had ended meanwhile. */
   #startPlaced(placement: Placement): void {
     const { clock, getState, jobClock, roster } = this.#opts
     const { jobId, upstreamId } = placement
--- a/batch/service/src/upstreamHealth.ts
+++ b/batch/service/src/upstreamHealth.ts
@@ -1,15 +1,15 @@
 /**
- * Which upstreams are kept from new work because runs fail there. A job that can never be done fails
- * everywhere, so failures count by distinct jobs, and one success clears them.
+ * Quarantines upstreams on which runs fail. A job that cannot succeed fails everywhere, so failures are counted by
+ * distinct jobs, and one success clears them.
  */
 import type { RunEnd } from '@nettlespur/batch.state'
 
-/** Distinct jobs that must have failed in a row. One is often the job's own fault. */
+/** Distinct jobs that must fail in a row before an upstream is quarantined. A single one is often the job's own fault. */
 const failedJobsMin = 2
-/** Longer than most troubles of an upstream last; after it, one run tries it out. */
+/** Longer than most disturbances of an upstream last. After it, a single further failure quarantines it again. */
 const quarantineMs = 8000
 
-/** How long an address counts as one where lives end soon. */
+/** How long after a crash an address counts as likely to crash again. */
 const crashedLatelyMs = 20_000
 
 interface FailureRecord {
@@ -19,10 +19,13 @@
 
 export class UpstreamHealth {
   readonly #records = new Map<string, FailureRecord>()
-  /** When a life last crashed at each address, the oldest first. */
+  /** When an upstream last crashed at each address, the oldest first. */
   readonly #crashedAtMs = new Map<string, number>()
 
-  /** Ends that say nothing of the upstream are passed over. `address`: its own; undefined where it is forgotten. */
+  /**
+   * Records the end of a run; outcomes that tell nothing about the upstream are ignored. `address` is that of the
+   * upstream, undefined if the state no longer holds it.
+   */
   noteEnd(end: RunEnd, address: string | undefined, nowMs: number): void {
     const { upstreamId, jobId, outcome } = end
     if (outcome === 'done') this.#records.delete(upstreamId)
@@ -36,7 +39,7 @@
     return nowMs - record.lastFailureMs < quarantineMs
   }
 
-  /** A life at that address crashed; the next one there may do so too. */
+  /** Whether an upstream at that address crashed recently; its successor there may do so too. */
   hasCrashedLately(address: string, nowMs: number): boolean {
     return nowMs - (this.#crashedAtMs.get(address) ?? -Infinity) < crashedLatelyMs
   }
--- a/batch/service/src/upstreamRoster.ts
+++ b/batch/service/src/upstreamRoster.ts
@@ -1,4 +1,4 @@
-/** The upstreams as one leader knows them: who was heard, who can be given work, and the session with each. */
+/** The upstreams as one leader knows them: their announcements and sessions, and whether they can take new work. */
 import type { Announcement } from '@nettlespur/batch.model'
 import { UpstreamSession, type SessionHost, type UpstreamPort } from '@nettlespur/batch.sessions'
 import type { BatchState, UpstreamRecord } from '@nettlespur/batch.state'
@@ -8,13 +8,13 @@
 import { UpstreamHealth } from './upstreamHealth.js'
 import { AnnouncementTable, type LeavingUpstream } from './announcementTable.js'
 
-/** Announcements that may be missed before an upstream gets no new work. */
+/** Without an announcement for this many intervals, an upstream gets no new work. */
 const missedAnnouncements = 3
-/** After a call without an answer an upstream gets no new work for this long, and until it is heard again. */
+/** After an unanswered call, an upstream gets no new work for this long, nor before its next announcement. */
 const silentPauseMs = 2000
-/** An upstream whose looks hid a run gets no new work for this long: longer than the lease that then ends the run. */
+/** Pause in new work after a poll with unreadable rows omitted a run: longer than the lease that then ends the run. */
 const unlistedPauseMs = 30_000
-/** Upstreams that live answer well within it; those that do not hold up the others no longer. */
+/** How long a takeover waits for answers. Upstreams that are up answer well within it. */
 const takeoverWaitMs = 300
 
 export interface UpstreamRosterOptions {
@@ -48,9 +48,10 @@
   }
 
   /**
-   * Takes up what earlier leaders placed, and asks the idle upstreams too: otherwise none could be used before its next
-   * announcement, which may be seconds away while its sender still tries the former leader. Resolves once all have
-   * answered or been given up, or time is up: a decision that sees a part of them would stop work for room that is there.
+   * Takes over the runs that earlier leaders placed, and polls the idle upstreams too: otherwise these could not be used
+   * before their next announcements, which may be seconds away while the senders still try the former leader. Resolves
+   * once each call was answered or given up, or after `takeoverWaitMs`: a round that sees only some of the upstreams
+   * would preempt runs although others have free resources.
    */
   async takeOver({ upstreams, placements }: BatchState): Promise<void> {
     const holders = new Set(placements.upstreamIds)
@@ -64,7 +65,7 @@
     await Promise.race([Promise.all(answered), clock.sleep(takeoverWaitMs, signal)])
   }
 
-  /** The session with an upstream; undefined where the state does not know it. */
+  /** Returns the session with an upstream, opened if need be; undefined if the state does not hold the upstream. */
   openSession(upstreamId: string): UpstreamSession | undefined {
     return this.#openSession(upstreamId, undefined)
   }
@@ -89,17 +90,17 @@
     return session
   }
 
-  /** False for an announcement that came after a newer one. */
+  /** Returns false, and changes nothing, if a newer announcement of the upstream has arrived before. */
   recordAnnouncement(announcement: Announcement): boolean {
     return this.#table.record(announcement, this.#opts.clock.monotonicMs())
   }
 
-  /** To be called once the state knows the upstream. */
+  /** Records the upstream's clock in its session. Call it once the state holds the upstream. */
   recordClock({ upstreamId, clockMs }: Announcement): void {
     this.openSession(upstreamId)?.lease.clock.note(clockMs, this.#opts.clock.monotonicMs())
   }
 
-  /** Upstreams that have said until when they stay. */
+  /** Upstreams that have announced until when they stay. */
   listLeaving(): LeavingUpstream[] {
     return this.#table.listLeaving()
   }
@@ -113,15 +114,15 @@
     return [...upstreams.values()].filter((upstream) => this.isUsable(upstream)).length
   }
 
-  /** Whether what starts there would be the only one to blame for a crash. */
+  /** Whether a crash could only be due to a run that starts there now: all others are proven, and no crash is recent. */
   isQuiet({ description: { upstreamId, address } }: UpstreamRecord): boolean {
     if (this.health.hasCrashedLately(address, this.#opts.clock.monotonicMs())) return false
     return this.#sessions.get(upstreamId)?.tracks.hasUnproven !== true
   }
 
   /**
-   * It refused a start for want of room or health and has not announced itself since: what is known of it is out of date.
-   * Asked again at once it would refuse again, as fast as commits go.
+   * Whether the upstream refused a start for lack of resources or health and has not announced itself since, so that its
+   * description is out of date. Without a pause, tasks would be placed and refused as fast as commits allow.
    */
   #isRefusing(upstreamId: string, refusedAtMs: number): boolean {
     if (this.#table.heardAtMs(upstreamId) > refusedAtMs) return false
@@ -129,14 +130,14 @@
     return clock.monotonicMs() - refusedAtMs < timings.announceEveryMs
   }
 
-  /** Whether new work may go there. */
+  /** Whether the upstream may get new work. */
   isUsable({ description: { upstreamId }, isDraining, hasLeft }: UpstreamRecord): boolean {
     if (isDraining || hasLeft || this.#table.isReplaced(upstreamId)) return false
     const nowMs = this.#opts.clock.monotonicMs()
     const session = this.#sessions.get(upstreamId)
     if (session?.lease.clock.isKnown !== true) return false
     const { answers } = session
-    // Its first answer counts as an announcement. Later ones do not: one that no longer announces itself may be leaving.
+    // The first answer counts as an announcement. Later ones do not: an upstream that stops announcing may be leaving.
     const heardAtMs = Math.max(this.#table.heardAtMs(upstreamId), answers.firstAnswerAtMs)
     const { announceEveryMs } = this.#opts.timings
     if (nowMs - heardAtMs > announceEveryMs * missedAnnouncements) return false
