--- a/batch/service/src/drawSearchPauseMs.ts
+++ b/batch/service/src/drawSearchPauseMs.ts
@@ -2,7 +2,8 @@
  * The pauses between searches for a leader. During an election, which takes about a second, a waiting caller loses half a
  * pause on average, so pauses are short; in a longer outage they are longer. They are random, so that the searches of
  * many processes do not coincide. The lengths bound the load on the members: a process with waiting callers searches at
- * most 45 times in an outage of 6 s, so 97 processes send each member at most 730 small calls a second.
+ * most 45 times in an outage of 6 s, its idle checks included, so 97 processes send each member at most 730 small calls a
+ * second, which it answers from memory.
  */
 import { electionWindowMs } from './leaderOutage.js'
 
