--- a/batch/service/src/buildView.ts
+++ b/batch/service/src/buildSchedulerView.ts
@@ -1,4 +1,4 @@
-/** Puts together what a scheduling round looks at, from the committed state and what sessions have seen. */
+/** Builds the input of a scheduling round from the committed state and from what the sessions have observed. */
 import type { Resources, StepSpec, TaskRef } from '@nettlespur/batch.model'
 import {
   addResources,
@@ -11,12 +11,12 @@
 import type { RunTrack } from '@nettlespur/batch.sessions'
 import type { BatchState, Placement, UpstreamRecord } from '@nettlespur/batch.state'
 
-/** A stop saves a checkpoint; what is lost then is the time until the task is at work again. */
+/** Work lost by stopping a run with checkpoints: the time until the task works again, since a stop saves a checkpoint. */
 const restartSeconds = 1
 const milliseconds = 1000
 const wholePercent = 100
-/** Below it, a start-up that took long would count for the whole run. */
-const meaningfulPercent = 20
+/** Below this progress, extrapolating from it would take a long start-up for the pace of the whole run. */
+const minProgressPercent = 20
 
 export interface ListRunsOptions {
   state: BatchState
@@ -25,18 +25,18 @@
   findTrack: (placement: Placement) => RunTrack | undefined
 }
 
-export interface BuildViewOptions extends ListRunsOptions {
+export interface BuildSchedulerViewOptions extends ListRunsOptions {
   acceptedAtMs: ReadonlyMap<string, number>
   isUsable: (upstream: UpstreamRecord) => boolean
-  /** A run on trial has just started there. */
+  /** Whether a run on trial has just started there. */
   hasTrial: (upstream: UpstreamRecord) => boolean
   /** See `UpstreamRoom`. */
   isQuiet: (upstream: UpstreamRecord) => boolean
-  /** The task waits for a moment, as its last starts came to nothing. */
+  /** Whether the task is in backoff after failed starts. */
   isPaused: (task: TaskRef) => boolean
 }
 
-export function buildView(opts: BuildViewOptions): SchedulerView {
+export function buildSchedulerView(opts: BuildSchedulerViewOptions): SchedulerView {
   const { state, nowMs, acceptedAtMs } = opts
   let runs: readonly ActiveRun[] | undefined
   const usable = [...state.upstreams.values()].filter((upstream) => opts.isUsable(upstream))
@@ -48,7 +48,7 @@
     rooms: usable.map((upstream) => buildRoom(opts, upstream)),
     isPaused: opts.isPaused,
     isProven: (placement) => opts.findTrack(placement)?.isProven === true,
-    // Only rounds in which something does not fit look at what runs.
+    // Computed on demand: only rounds in which something does not fit look at the runs.
     get runs() {
       return (runs ??= usable.flatMap(({ description }) => listRuns(opts, description.upstreamId)))
     },
@@ -58,7 +58,7 @@
   }
 }
 
-function buildRoom(opts: BuildViewOptions, upstream: UpstreamRecord): UpstreamRoom {
+function buildRoom(opts: BuildSchedulerViewOptions, upstream: UpstreamRecord): UpstreamRoom {
   const { upstreamId, pool, rack, labels, capacity } = upstream.description
   const known = { upstreamId, pool, rack, labels, capacity }
   if (opts.hasTrial(upstream)) {
@@ -76,14 +76,14 @@
     ...known,
     free,
     soon: addResources(free, stopping),
-    // Only starts on trial ask for it.
+    // Computed on demand: only starts on trial need it.
     get isQuiet() {
       return opts.isQuiet(upstream)
     },
   }
 }
 
-/** What runs on one upstream, and when it is expected to end. */
+/** Lists the runs on one upstream, with their expected ends and the cost of stopping them. */
 export function listRuns(opts: ListRunsOptions, upstreamId: string): ActiveRun[] {
   return [...opts.state.placements.getByUpstream(upstreamId).values()].map((placement) => {
     const step = findStep(opts.state, placement)
@@ -98,7 +98,7 @@
   })
 }
 
-/** By its progress once that says something, else by its declared run time. */
+/** Extrapolates from the progress once that is meaningful; until then uses the declared run time. */
 function estimateEndMs(
   nowMs: number,
   step: StepSpec | undefined,
@@ -108,7 +108,7 @@
   if (track === undefined) return nowMs + declaredMs
   const { startedAtMs, progressPercent } = track
   const declaredEndMs = Math.max(nowMs, startedAtMs + declaredMs)
-  if (progressPercent < meaningfulPercent) return declaredEndMs
+  if (progressPercent < minProgressPercent) return declaredEndMs
   const elapsedMs = nowMs - startedAtMs
   return nowMs + (elapsedMs * (wholePercent - progressPercent)) / progressPercent
 }
--- a/batch/service/src/callTrace.ts
+++ b/batch/service/src/callTrace.ts
@@ -1,21 +1,21 @@
-/** What one call waited on: searches for the leader, and calls of members with what each ended in. */
+/** Records where the time of one call went: searches for the leader, and attempts at members with their outcomes. */
 import type { Clock } from '@nettlespur/core.clock'
 import type { LogEvent } from '@nettlespur/core.logger'
 import type { CallerWait } from './callerWait.js'
 
-/** What was known of a member when it was called as the leader. */
-export interface Belief {
+/** What was known of the presumed leader when a call was sent to it. */
+export interface LeaderBelief {
   readonly address: string
-  /** Since it was first believed to lead. */
+  /** Time since this process began to take it for the leader. */
   readonly ageMs: number
-  /** Since it last answered this process. */
+  /** Time since it last answered this process. */
   readonly quietMs: number
 }
 
 interface StartedAttempt {
   readonly address: string
   readonly startMs: number
-  /** Empty while it has none. */
+  /** Outcome, address and duration for the log; empty while the attempt is running. */
   end: string
 }
 
@@ -24,10 +24,10 @@
   readonly #startMs: number
   readonly #wait: CallerWait
   readonly #attempts: StartedAttempt[] = []
-  #belief: Belief | undefined
+  #firstBelief: LeaderBelief | undefined
   #searches = 0
   #searchMs = 0
-  #openSearches = 0
+  #runningSearches = 0
 
   constructor(clock: Clock, wait: CallerWait) {
     this.#clock = clock
@@ -47,34 +47,38 @@
     return this.#wait.deadlineMs
   }
 
-  get callerIsGone(): boolean {
+  get isCallerGone(): boolean {
     return this.#wait.gone?.aborted === true
   }
 
-  /** A try of the call waits for a leader to be found. */
+  /** Whether an attempt is waiting for a leader to be found. */
   get isSearching(): boolean {
-    return this.#openSearches > 0
+    return this.#runningSearches > 0
   }
 
-  async search<T>(run: () => Promise<T>): Promise<T> {
+  /** Runs a search for the leader and adds its duration to the trace. */
+  async trackSearch<T>(run: () => Promise<T>): Promise<T> {
     const startMs = this.#clock.monotonicMs()
     this.#searches += 1
-    this.#openSearches += 1
+    this.#runningSearches += 1
     try {
       return await run()
     } finally {
-      this.#openSearches -= 1
+      this.#runningSearches -= 1
       this.#searchMs += this.#clock.monotonicMs() - startMs
     }
   }
 
-  /** A call of a member begins; gives what is to be told its outcome. The log shows the first one's belief. */
-  startAttempt(belief: Belief): (outcome: string) => void {
+  /**
+   * Records that a member is being called and returns the function to call with the outcome. The log line shows the
+   * belief of the first attempt only.
+   */
+  startAttempt(belief: LeaderBelief): (outcome: string) => void {
     const attempt = { address: belief.address, startMs: this.#clock.monotonicMs(), end: '' }
-    this.#belief ??= belief
+    this.#firstBelief ??= belief
     this.#attempts.push(attempt)
     return (outcome) => {
-      attempt.end = `${outcome}@${attempt.address}+${this.#since(attempt.startMs)}ms`
+      attempt.end = `${outcome}@${attempt.address}+${this.#elapsedMs(attempt.startMs)}ms`
     }
   }
 
@@ -83,9 +87,9 @@
     return {
       tookMs: Math.round(this.tookMs),
       deadlineMs: this.#wait.deadlineMs,
-      callerIsGone: this.callerIsGone ? true : undefined,
-      beliefAgeMs: round(this.#belief?.ageMs),
-      leaderQuietMs: round(this.#belief?.quietMs),
+      callerIsGone: this.isCallerGone ? true : undefined,
+      beliefAgeMs: round(this.#firstBelief?.ageMs),
+      leaderQuietMs: round(this.#firstBelief?.quietMs),
       searches: this.#searches,
       searchMs: Math.round(this.#searchMs),
       attempts: this.#attempts.length,
@@ -93,14 +97,14 @@
     }
   }
 
-  /** A call without an outcome yet is `open`. */
+  /** An attempt without an outcome is shown as `open`. */
   #listEnds(): string[] {
     return this.#attempts.map(({ address, startMs, end }) => {
-      return end === '' ? `open@${address}+${this.#since(startMs)}ms` : end
+      return end === '' ? `open@${address}+${this.#elapsedMs(startMs)}ms` : end
     })
   }
 
-  #since(startMs: number): number {
+  #elapsedMs(startMs: number): number {
     return Math.round(this.#clock.monotonicMs() - startMs)
   }
 }
--- a/batch/service/src/leaderWatch.ts
+++ b/batch/service/src/leaderWatch.ts
@@ -1,18 +1,18 @@
 /**
- * Keeps the way to the leader fresh while nobody calls. A process that is idle learns of a silent connection, of
- * another leader and of its own isolation here, and not from the first caller that waits for it.
+ * Checks the leader while no calls are made, so that an idle process detects a dead connection, a new leader or its own
+ * isolation before the next call has to wait for it.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
 import type { LeaderFinder } from './leaderFinder.js'
 
-/** A leader that answered a call within this time is not asked; an idle process costs it one small call a second. */
-const quietMs = 1000
-/** Between looks after one that nobody answered. */
-const retryMs = 500
-/** Between looks while members answer and none leads: calls are refused on the word of the last look. */
-const missingMs = 250
-/** Looks in a row that nobody answered: about 2.5 s, more than the 2 s in which a group without a leader elects one. */
+/** A leader that has answered within this time is not asked; an idle process costs it one small call a second. */
+const checkIntervalMs = 1000
+/** Interval after a check that no member answered. */
+const unansweredIntervalMs = 500
+/** Interval while members answer but none leads. Short, because calls are refused on the result of the last check. */
+const leaderlessIntervalMs = 250
+/** Unanswered checks in a row, about 2.5 s: more than the 2 s in which a group without a leader elects one. */
 const missesMax = 3
 
 export interface LeaderWatchOptions {
@@ -30,29 +30,29 @@
     this.#finder = finder
   }
 
-  /** False once no member at all has answered several looks; a member that knows no leader counts as an answer. */
-  get reachesMembers(): boolean {
+  /** False once several checks in a row got no answer at all. The answer of a member that knows no leader counts. */
+  get canReachMembers(): boolean {
     return this.#misses < missesMax
   }
 
-  /** One task, until `signal` is aborted. */
+  /** Runs the checks until `signal` is aborted. Call it once. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const isAnswered = await this.#finder.refresh(quietMs)
-      this.#note(isAnswered)
+      const isAnswered = await this.#finder.refresh(checkIntervalMs)
+      this.#recordCheck(isAnswered)
       await this.#opts.clock.sleep(this.#pauseMs(isAnswered), signal)
     }
   }
 
   #pauseMs(isAnswered: boolean): number {
-    if (!isAnswered) return retryMs
-    return this.#finder.leaderAddress === undefined ? missingMs : quietMs
+    if (!isAnswered) return unansweredIntervalMs
+    return this.#finder.leaderAddress === undefined ? leaderlessIntervalMs : checkIntervalMs
   }
 
-  #note(isAnswered: boolean): void {
-    const couldReach = this.reachesMembers
+  #recordCheck(isAnswered: boolean): void {
+    const couldReach = this.canReachMembers
     this.#misses = isAnswered ? 0 : this.#misses + 1
-    if (this.reachesMembers === couldReach) return
+    if (this.canReachMembers === couldReach) return
     const event = couldReach ? 'members.unreachable' : 'members.reachable'
     this.#opts.logger.warn({ event, misses: this.#misses, quietMs: this.#finder.quietMs })
   }
--- a/batch/service/src/listEvacuees.ts
+++ b/batch/service/src/listEvacuees.ts
@@ -1,13 +1,13 @@
 /**
- * Which runs are stopped because their upstream leaves before they can end. Without checkpoints the work is
- * lost either way, so they begin again elsewhere at once; with them they work on until shortly before.
+ * Lists the runs to stop because their upstream leaves before they can end. Without checkpoints the work is lost in any
+ * case, so such a run restarts elsewhere at once; with checkpoints it continues until shortly before the upstream leaves.
  */
 import type { Placement } from '@nettlespur/batch.state'
-import { listRuns, type ListRunsOptions } from './buildView.js'
-import type { LeavingUpstream } from './upstreamTable.js'
+import { listRuns, type ListRunsOptions } from './buildSchedulerView.js'
+import type { LeavingUpstream } from './announcementTable.js'
 
-/** For an order of 1 to 2 ms and a stop of 400 ms, twice, and a round of decisions each 500 ms. */
-const lastStopMs = 1500
+/** Twice the time to stop a run (1 to 2 ms for the order, 400 ms for the stop), and the 500 ms between rounds. */
+const checkpointStopMarginMs = 1500
 
 export function listEvacuees(
   leaving: readonly LeavingUpstream[],
@@ -17,12 +17,12 @@
     listRuns(opts, upstreamId)
       .filter(({ isStopping, expectedEndMs }) => !isStopping && expectedEndMs > leavesAtMs)
       .filter(({ placement }) => {
-        return !savesProgress(opts, placement) || opts.nowMs >= leavesAtMs - lastStopMs
+        return !hasCheckpoints(opts, placement) || opts.nowMs >= leavesAtMs - checkpointStopMarginMs
       })
       .map(({ placement }) => placement),
   )
 }
 
-function savesProgress({ state }: ListRunsOptions, { jobId, step }: Placement): boolean {
+function hasCheckpoints({ state }: ListRunsOptions, { jobId, step }: Placement): boolean {
   return state.jobs.get(jobId)?.request.steps[step]?.checkpoints === true
 }
--- a/batch/service/src/operationRunner.ts
+++ b/batch/service/src/operationRunner.ts
@@ -1,4 +1,4 @@
-/** Sends one call to whoever leads until it has an answer or its time is up, and tells the log of it. */
+/** Sends one call to the current leader, retries it until it has an answer or its time is up, and logs the outcome. */
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError, toNettlespurError, tryAsync } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
@@ -9,22 +9,25 @@
 import { LeaderCaller, type LeaderCallerOptions } from './leaderCaller.js'
 import type { LeaderFinderOptions } from './leaderFinder.js'
 import type { Operation } from './operation.js'
-import { answerMarginMs, runRead } from './runRead.js'
+import { answerMarginMs, runHedgedRead } from './runHedgedRead.js'
 
-/** Before a further try: an instance just elected names itself, and only pauses let it get ready; each is longer. */
-const firstPauseMs = 20
-const longestPauseMs = 160
-const pauseGrowth = 2
+/** Backoff between attempts. A leader just elected already names itself but needs time before it accepts calls. */
+const initialBackoffMs = 20
+const maxBackoffMs = 160
+const backoffFactor = 2
 
-/** Members that are up answer a search within 300 ms, and searches come several a second while nobody is known to lead. */
-const silentMs = 1000
+/**
+ * Without an answer from any member for this long, none is taken to be reachable. Members that are up answer a search
+ * within 300 ms, and several searches a second run while no leader is known.
+ */
+const membersSilentAfterMs = 1000
 
-/** After so long without a leader it is looked at anew whether the call is still worth its wait. */
+/** The longest wait for a leader in one attempt; then the time limit and the caller's presence are checked again. */
 const searchSliceMs = 400
 
 export interface OperationRunnerOptions
   extends LeaderFinderOptions, LeaderCallerOptions, CallLogOptions {
-  /** Of the whole call. */
+  /** How long a call is retried; longer only for a read or a call that may have run, while the caller waits. */
   patienceMs: number
   log: CallLog
 }
@@ -45,65 +48,69 @@
       const trace = new CallTrace(this.#clock, wait)
       try {
         const value = await this.#runUntilAnswered(operation, trace)
-        this.#note(operation, trace)
+        this.#logCall(operation, trace)
         return value
       } catch (thrown) {
         const error = toNettlespurError(thrown)
-        this.#note(operation, trace, error)
+        this.#logCall(operation, trace, error)
         throw error
       }
     })
   }
 
-  #note(operation: Operation<unknown>, trace: CallTrace, error?: NettlespurError): void {
-    this.#opts.log.note(operation, trace, this.#opts.finder.leaderAddress, error)
+  #logCall(operation: Operation<unknown>, trace: CallTrace, error?: NettlespurError): void {
+    this.#opts.log.record(operation, trace, this.#opts.finder.leaderAddress, error)
   }
 
   #runUntilAnswered<T>(operation: Operation<T>, trace: CallTrace): Promise<T> {
     const { clock, patienceMs } = this.#opts
-    const refusal = this.#caller.refuseAtOnce()
+    const refusal = this.#caller.createEarlyRefusal()
     if (refusal !== undefined) return Promise.reject(refusal)
-    if (operation.sort !== 'read') return this.#runInTurn(operation, trace)
-    return runRead({ clock, patienceMs, caller: this.#caller, operation, trace })
+    if (operation.kind !== 'read') return this.#runSequentially(operation, trace)
+    return runHedgedRead({ clock, patienceMs, caller: this.#caller, operation, trace })
   }
 
-  /** One try after the other: what may change something is never under way twice from here. */
-  async #runInTurn<T>(operation: Operation<T>, trace: CallTrace): Promise<T> {
+  /** Runs one attempt after the other, so that this process never has a change in flight twice. */
+  async #runSequentially<T>(operation: Operation<T>, trace: CallTrace): Promise<T> {
     let mayHaveRun = false
-    let pauseMs = firstPauseMs
+    let backoffMs = initialBackoffMs
     for (;;) {
-      const limitMs = this.#limitMs(operation, trace, mayHaveRun)
+      const limitMs = this.#computeTimeLimitMs(operation, trace, mayHaveRun)
       const searchMs = Math.max(0, Math.min(searchSliceMs, limitMs - trace.tookMs))
       const attempt = await this.#caller.tryOnce(operation, { trace, searchMs, limits: {} })
       if (!(attempt instanceof NettlespurError)) return attempt.value
       mayHaveRun ||= isInDoubt(attempt)
       if (isFinal(attempt)) throw attempt
       const isOver =
-        trace.callerIsGone || trace.tookMs >= this.#limitMs(operation, trace, mayHaveRun)
+        trace.isCallerGone || trace.tookMs >= this.#computeTimeLimitMs(operation, trace, mayHaveRun)
       if (isOver) throw toFinalError(attempt, mayHaveRun)
-      await this.#clock.sleep(pauseMs)
-      pauseMs = Math.min(longestPauseMs, pauseMs * pauseGrowth)
+      await this.#clock.sleep(backoffMs)
+      backoffMs = Math.min(maxBackoffMs, backoffMs * backoffFactor)
     }
   }
 
   /**
-   * How long the call may take. What has surely not run is told soon, with when to come back. What may have run is sent
-   * again for as long as the caller waits and members answer: under its id it runs once, so a whole answer takes the
-   * place of a doubt that the caller could not settle either. Where no member answers, another entry may do better.
+   * How long the call may take. If it has certainly not run, the caller soon gets the refusal and its retry delay. If it
+   * may have run, it is retried for as long as the caller waits and members answer: it is idempotent, and a definite
+   * answer spares the caller an unknown outcome. If no member answers, the caller may have more luck at another entry.
    */
-  #limitMs(operation: Operation<unknown>, { deadlineMs }: CallTrace, mayHaveRun: boolean): number {
+  #computeTimeLimitMs(
+    operation: Operation<unknown>,
+    { deadlineMs }: CallTrace,
+    mayHaveRun: boolean,
+  ): number {
     const { finder } = this.#opts
     const { patienceMs = this.#opts.patienceMs } = operation
     if (deadlineMs === undefined) return patienceMs
-    const wholeMs = deadlineMs - answerMarginMs
+    const callerTimeLimitMs = deadlineMs - answerMarginMs
     const { quietMs = Infinity } = finder
-    return mayHaveRun && quietMs < silentMs
-      ? Math.max(patienceMs, wholeMs)
-      : Math.min(patienceMs, Math.max(0, wholeMs))
+    return mayHaveRun && quietMs < membersSilentAfterMs
+      ? Math.max(patienceMs, callerTimeLimitMs)
+      : Math.min(patienceMs, Math.max(0, callerTimeLimitMs))
   }
 }
 
-/** What is told once the time of a call is up. */
+/** The error that the caller gets once the time of its call is up. */
 function toFinalError(last: NettlespurError, mayHaveRun: boolean): NettlespurError {
   if (!mayHaveRun) return last
   return new NettlespurError('outcome-unknown', last.message, { cause: last })
--- a/batch/service/src/schedulingRounds.ts
+++ b/batch/service/src/schedulingRounds.ts
@@ -1,6 +1,6 @@
 /**
- * Decides again and again while a leader leads: whenever something has changed, what starts where and what
- * makes room for others. Each placement is committed before its start is sent.
+ * Runs the leader's scheduling rounds: after each change, and at least every `idleRoundIntervalMs`. A round decides which
+ * tasks start where and which runs are preempted. Placements are committed before the start orders are sent.
  */
 import { runFields, runKey } from '@nettlespur/batch.model'
 import { planRound, type Preemption, type RoundDecision } from '@nettlespur/batch.scheduler'
@@ -9,22 +9,22 @@
 import type { Logger } from '@nettlespur/core.logger'
 import type { MetricsRegistry } from '@nettlespur/core.metrics'
 import type { BatchTimings } from './batchTimings.js'
-import { buildView, type ListRunsOptions } from './buildView.js'
+import { buildSchedulerView, type ListRunsOptions } from './buildSchedulerView.js'
 import { Housekeeper } from './housekeeper.js'
 import type { JobClock } from './jobClock.js'
 import { listEvacuees } from './listEvacuees.js'
-import type { RetryPauses } from './retryPauses.js'
+import type { RetryBackoff } from './retryBackoff.js'
 import type { UpstreamRoster } from './upstreamRoster.js'
 
-/** Rounds that no event asks for: quarantines end, and jobs lose hope, with time alone. */
-const idleRoundMs = 500
-/** A round that took longer is followed by a pause as long as it took: half of the time is left for calls. */
+/** Rounds are due without an event too: as time passes, quarantines end and jobs can no longer meet their objective. */
+const idleRoundIntervalMs = 500
+/** A round that took longer is followed by a pause of the same length, which leaves half of the time for calls. */
 const shortRoundMs = 2
 
-/** Why a run is stopped, for the log. */
+/** Reasons for stopping a run, for the log. */
 const evacuatedReason = 'its upstream leaves before it can end'
-const guaranteedReason = 'its room is guaranteed to another job'
-const urgentReason = 'urgent work that is worth more waits for its room'
+const guaranteedReason = 'its resources are guaranteed to another job'
+const urgentReason = 'a more valuable urgent job needs its resources'
 
 export interface SchedulingRoundsOptions {
   clock: Clock
@@ -33,11 +33,11 @@
   timings: BatchTimings
   roster: UpstreamRoster
   jobClock: JobClock
-  retryPauses: RetryPauses
+  retryBackoff: RetryBackoff
   getState: () => BatchState
   shouldStop: (placement: Placement) => boolean
   preempt: (runs: readonly Placement[]) => void
-  /** False where the command was not committed or that is not known. */
+  /** Resolves to false if the command was not committed or its outcome is unknown. */
   tryPropose: (command: Command) => Promise<boolean>
   /** Ends the rounds. */
   signal: AbortSignal
@@ -53,8 +53,8 @@
     this.#housekeeper = new Housekeeper({ ...opts, keepEndedMs: opts.timings.keepEndedMs })
   }
 
-  /** Asks for a round: something has changed that may let work start. */
-  request(): void {
+  /** Requests a round, because a change may let work start. */
+  requestRound(): void {
     this.#wake.notify()
   }
 
@@ -62,13 +62,13 @@
     const { clock, signal } = this.#opts
     const isOver = (): boolean => signal.aborted
     while (!isOver()) {
-      await this.#wake.wait(clock, idleRoundMs, signal)
-      if (!isOver()) await this.#decide()
-      if (!isOver()) await this.#housekeeper.look()
+      await this.#wake.wait(clock, idleRoundIntervalMs, signal)
+      if (!isOver()) await this.#runRound()
+      if (!isOver()) await this.#housekeeper.cleanUp()
     }
   }
 
-  async #decide(): Promise<void> {
+  async #runRound(): Promise<void> {
     const { clock, metrics, signal } = this.#opts
     const nowMs = clock.monotonicMs()
     this.#evacuate(nowMs)
@@ -81,20 +81,21 @@
   }
 
   #plan(nowMs: number): RoundDecision {
-    const { getState, roster, jobClock, retryPauses } = this.#opts
+    const { getState, roster, jobClock, retryBackoff } = this.#opts
     jobClock.update(getState(), nowMs)
-    const view = buildView({
+    const view = buildSchedulerView({
       ...this.#createRunsOptions(nowMs),
       acceptedAtMs: jobClock.acceptedAtMs,
       isUsable: (upstream) => roster.isUsable(upstream),
-      hasTrial: ({ description }) => roster.find(description.upstreamId)?.tracks.hasTrial === true,
+      hasTrial: ({ description }) =>
+        roster.findSession(description.upstreamId)?.tracks.hasTrial === true,
       isQuiet: (upstream) => roster.isQuiet(upstream),
-      isPaused: (task) => retryPauses.isPaused(task, nowMs),
+      isPaused: (task) => retryBackoff.isPaused(task, nowMs),
     })
     return planRound(view)
   }
 
-  /** Stops what cannot end where it is, so that it begins again elsewhere. */
+  /** Stops runs that cannot end before their upstream leaves, so that they start again elsewhere. */
   #evacuate(nowMs: number): void {
     const { roster, preempt } = this.#opts
     const runs = listEvacuees(roster.listLeaving(), this.#createRunsOptions(nowMs))
@@ -119,7 +120,7 @@
       state: getState(),
       nowMs,
       isStopping: shouldStop,
-      findTrack: (placement) => roster.find(placement.upstreamId)?.tracks.find(placement),
+      findTrack: (placement) => roster.findSession(placement.upstreamId)?.tracks.find(placement),
     }
   }
 
@@ -128,18 +129,18 @@
     if (await tryPropose({ type: 'place-tasks', placements })) {
       for (const placement of placements) this.#startPlaced(placement)
     } else {
-      await clock.sleep(idleRoundMs, signal)
+      await clock.sleep(idleRoundIntervalMs, signal)
     }
   }
 
-  /** The state may have refused a placement whose job ended meanwhile. */
+  /** Sends the start order, unless the state refused the placement because its job had ended meanwhile. */
   #startPlaced(placement: Placement): void {
     const { clock, getState, jobClock, roster } = this.#opts
     const { jobId, upstreamId } = placement
     if (!getState().placements.getByUpstream(upstreamId).has(runKey(placement))) return
     const waitedMs = Math.round(jobClock.waitedMs(jobId, clock.monotonicMs()))
     this.#log('placement.decided', placement, { waitedMs })
-    roster.open(upstreamId)?.start(placement)
+    roster.openSession(upstreamId)?.start(placement)
   }
 
   #log(event: string, run: Placement, fields: Readonly<Record<string, string | number>>): void {
