--- a/batch/scheduler/__utils__/fleet.ts
+++ b/batch/scheduler/__utils__/fleet.ts
@@ -5,7 +5,7 @@
 import { addResources, noResources, planRound, type ActiveRun } from '../src/index.js'
 
 /** When all that runs is expected to end, from now. */
-const runsOnMs = 1000
+const remainingRunMs = 1000
 
 export class Fleet {
   readonly state = new BatchState()
@@ -37,20 +37,22 @@
       nowMs: this.nowMs,
       jobs: [...this.state.unsettled.values()],
       acceptedAtMs: this.#acceptedAtMs,
-      rooms: [...this.state.upstreams.values()].map(({ description }) => this.#room(description)),
+      upstreams: [...this.state.upstreams.values()].map(({ description }) =>
+        this.#toSchedulable(description),
+      ),
       runs: this.#runs(),
       isPaused: () => false,
-      isProven: (run) => this.proven.has(name(run)),
+      isProven: (run) => this.proven.has(nameRun(run)),
       guarantees: new Map([['w1', 16]]),
     })
     this.state.apply({ type: 'place-tasks', placements: decision.placements })
-    for (const { run } of decision.preemptions) this.#stopping.add(name(run))
+    for (const { run } of decision.preemptions) this.#stopping.add(nameRun(run))
     return decision
   }
 
   /** All that runs is seen at work. */
   prove(): void {
-    for (const { placement } of this.#runs()) this.proven.add(name(placement))
+    for (const { placement } of this.#runs()) this.proven.add(nameRun(placement))
   }
 
   /** The upstream of the run crashes under it alone. */
@@ -62,18 +64,23 @@
     this.state.apply({ type: 'end-runs', ends: [{ ...run, outcome, checkpoint: '' }] })
   }
 
-  #room(description: ReturnType<typeof createUpstream>) {
+  #toSchedulable(description: ReturnType<typeof createUpstream>) {
     let used = noResources
     let stopping = noResources
     for (const run of this.state.placements.on(description.upstreamId).values()) {
       const needs = this.state.jobs.get(run.jobId)?.request.steps[run.step]?.needs ?? noResources
       used = addResources(used, needs)
-      if (this.#stopping.has(name(run))) stopping = addResources(stopping, needs)
+      if (this.#stopping.has(nameRun(run))) stopping = addResources(stopping, needs)
     }
     const free = addResources(description.capacity, used, -1)
     const runs = [...this.state.placements.on(description.upstreamId).values()]
-    const isQuiet = runs.every((run) => this.proven.has(name(run)))
-    return { ...description, free, soon: addResources(free, stopping), isQuiet }
+    const isSuitableForTrial = runs.every((run) => this.proven.has(nameRun(run)))
+    return {
+      ...description,
+      free,
+      freeAfterStops: addResources(free, stopping),
+      isSuitableForTrial: isSuitableForTrial,
+    }
   }
 
   #runs(): ActiveRun[] {
@@ -82,14 +89,14 @@
         placement,
         needs:
           this.state.jobs.get(placement.jobId)?.request.steps[placement.step]?.needs ?? noResources,
-        expectedEndMs: this.nowMs + runsOnMs,
+        expectedEndMs: this.nowMs + remainingRunMs,
         stopCostCoreSeconds: this.stopCosts.get(placement.jobId) ?? 1,
-        isStopping: this.#stopping.has(name(placement)),
+        isStopping: this.#stopping.has(nameRun(placement)),
       })),
     )
   }
 }
 
-function name({ jobId, step, index, attempt }: Placement): string {
+function nameRun({ jobId, step, index, attempt }: Placement): string {
   return `${jobId}.${step}.${index}#${attempt}`
 }
--- /dev/null
+++ b/batch/scheduler/src/chooseUpstreams.ts
@@ -0,0 +1,44 @@
+/**
+ * Chooses upstreams for the tasks of a unit: the tightest fit, so that whole upstreams and racks stay free
+ * for large gangs, and one rack for what is slow across racks.
+ */
+import { fillEmptiest, fillTightest, type UpstreamFit } from './fillTightest.js'
+import { listScopes } from './listScopes.js'
+import type { UpstreamAllocation, RoundAllocations } from './roundAllocations.js'
+import type { StartUnit } from './startUnit.js'
+
+/**
+ * An upstream for each task, in the order of the waiting tasks: all of them for a gang, else as many as
+ * fit. Empty where nothing can start.
+ */
+export function chooseUpstreams(unit: StartUnit, allocations: RoundAllocations): string[] {
+  const wanted = unit.waiting.length
+  const fill = unit.isOnTrial ? fillEmptiest : fillTightest
+  if (!allocations.hasEnoughAccelerators(unit.step, unit.step.isGang ? wanted : 1)) return []
+  const scopes = listScopes(unit, allocations).map((upstreams) =>
+    countScopeFit(unit, allocations, upstreams),
+  )
+  if (!unit.step.isGang)
+    return scopes.flatMap(({ upstreams: upstreams }) => fill(upstreams, wanted))
+  const fitting = scopes.filter(({ total }) => total >= wanted)
+  const [tightest] = fitting.sort((left, right) => left.total - right.total)
+  return tightest === undefined ? [] : fill(tightest.upstreams, wanted)
+}
+
+interface ScopeFit {
+  readonly upstreams: readonly UpstreamFit[]
+  readonly total: number
+}
+
+function countScopeFit(
+  unit: StartUnit,
+  allocations: RoundAllocations,
+  upstreams: readonly UpstreamAllocation[],
+): ScopeFit {
+  const counted = upstreams.map((upstream) => ({
+    upstreamId: upstream.upstreamId,
+    free: upstream.free,
+    count: allocations.countTasks(unit, upstream),
+  }))
+  return { upstreams: counted, total: counted.reduce((sum, { count }) => sum + count, 0) }
+}
--- a/batch/scheduler/src/chooseVictims.ts
+++ b/batch/scheduler/src/chooseVictims.ts
@@ -6,20 +6,20 @@
  */
 import { trackScopes, type FitScope } from './fitTracker.js'
 import { sumCost, type VictimGroup } from './listVictimGroups.js'
-import type { RoomBook } from './roomBook.js'
-import { RoomFreeing } from './roomFreeing.js'
-import { spareDearest } from './spareDearest.js'
+import type { RoundAllocations } from './roundAllocations.js'
+import { PreemptionSearch } from './preemptionSearch.js'
+import { dropUnneededVictims } from './dropUnneededVictims.js'
 import type { StartUnit } from './startUnit.js'
 import type { VictimIndex } from './victimIndex.js'
 
 export interface VictimChoice {
   readonly victims: readonly VictimGroup[]
-  readonly places: readonly string[]
+  readonly upstreamIds: readonly string[]
 }
 
 export interface ChooseVictimsOptions {
   unit: StartUnit
-  book: RoomBook
+  allocations: RoundAllocations
   /** What may be stopped. */
   victims: VictimIndex
   /** What may be thrown away for the unit. */
@@ -29,25 +29,25 @@
 /** The cheapest choice found over the racks; undefined where stopping everything would not do. */
 export function chooseVictims({
   unit,
-  book,
+  allocations: allocations,
   victims,
   costMaxCoreSeconds,
 }: ChooseVictimsOptions): VictimChoice | undefined {
-  const scopes = trackScopes(unit, book, ({ soon }) => soon)
-  const choices = scopes.flatMap((scope) => stopUntilFits(scope, victims) ?? [])
+  const scopes = trackScopes(unit, allocations, ({ freeAfterStops: soon }) => soon)
+  const choices = scopes.flatMap((scope) => chooseForScope(scope, victims) ?? [])
   const [best] = choices.sort((left, right) => sumCost(left.victims) - sumCost(right.victims))
   return best !== undefined && sumCost(best.victims) <= costMaxCoreSeconds ? best : undefined
 }
 
 /** Stops what is cheapest until the unit fits, then spares what is not needed after all. */
-function stopUntilFits(scope: FitScope, from: VictimIndex): VictimChoice | undefined {
-  const freeing = new RoomFreeing(scope, from)
-  const stopped: VictimGroup[] = []
+function chooseForScope(scope: FitScope, victimIndex: VictimIndex): VictimChoice | undefined {
+  const search = new PreemptionSearch(scope, victimIndex)
+  const chosen: VictimGroup[] = []
   while (!scope.fits) {
-    const cheapest = freeing.takeCheapest()
+    const cheapest = search.chooseCheapest()
     if (cheapest === undefined) return undefined
-    stopped.push(...cheapest)
+    chosen.push(...cheapest)
   }
-  const victims = spareDearest(scope, stopped, () => scope.fits)
-  return { victims, places: scope.choosePlaces() }
+  const victims = dropUnneededVictims(scope, chosen, () => scope.fits)
+  return { victims, upstreamIds: scope.chooseUpstreams() }
 }
--- a/batch/scheduler/src/limitStopCost.ts
+++ b/batch/scheduler/src/computeStopCostLimit.ts
@@ -12,9 +12,15 @@
 const millisecondsPerSecond = 1000
 
 /** In core-seconds; 0 where nothing may be stopped. */
-export function limitStopCost({ isGuaranteed, job, step, waiting, hope }: RankedUnit): number {
+export function computeStopCostLimit({
+  isGuaranteed,
+  job,
+  step,
+  waiting,
+  timeliness: timeliness,
+}: RankedUnit): number {
   if (isGuaranteed) return Infinity
-  if (job.queue.priority !== urgentPriority || hope !== 'on-time') return 0
+  if (job.queue.priority !== urgentPriority || timeliness !== 'on-time') return 0
   return (
     (waiting.length * measureCores(step.needs) * step.expectedRunTimeMs) / millisecondsPerSecond
   )
--- a/batch/scheduler/src/spareDearest.ts
+++ b/batch/scheduler/src/dropUnneededVictims.ts
@@ -3,16 +3,18 @@
 import type { VictimGroup } from './listVictimGroups.js'
 
 /** Gives the groups that are needed for `isEnough`; the dearest are spared first, and their room is taken again. */
-export function spareDearest(
+export function dropUnneededVictims(
   scope: FitScope,
-  stopped: readonly VictimGroup[],
+  victims: readonly VictimGroup[],
   isEnough: () => boolean,
 ): VictimGroup[] {
-  const dearFirst = [...stopped].sort((left, right) => right.costCoreSeconds - left.costCoreSeconds)
-  return dearFirst.filter((group) => {
-    scope.change(group.runs, group.needs, -1)
+  const costliestFirst = [...victims].sort(
+    (left, right) => right.costCoreSeconds - left.costCoreSeconds,
+  )
+  return costliestFirst.filter((group) => {
+    scope.adjustFree(group.runs, group.needs, -1)
     if (isEnough()) return false
-    scope.change(group.runs, group.needs, 1)
+    scope.adjustFree(group.runs, group.needs, 1)
     return true
   })
 }
--- a/batch/scheduler/src/fillTightest.ts
+++ b/batch/scheduler/src/fillTightest.ts
@@ -1,38 +1,38 @@
 /** Spreads tasks over rooms: first where the fewest accelerators are left, then where the fewest processors are. */
 import type { Resources } from '@nettlespur/batch.model'
 
-export interface CountedRoom {
+export interface UpstreamFit {
   readonly upstreamId: string
-  readonly left: Resources
+  readonly free: Resources
   /** Tasks that fit. */
   readonly count: number
 }
 
 /** As many upstreams as there are tasks, or as many as fit. */
-export function fillTightest(rooms: readonly CountedRoom[], wanted: number): string[] {
-  return fillInOrder(sortTightest(rooms), wanted)
+export function fillTightest(upstreams: readonly UpstreamFit[], wanted: number): string[] {
+  return fillInOrder(sortTightest(upstreams), wanted)
 }
 
 /** The same from the other end: where the least runs, so that a crash harms the least. */
-export function fillEmptiest(rooms: readonly CountedRoom[], wanted: number): string[] {
-  return fillInOrder(sortTightest(rooms).reverse(), wanted)
+export function fillEmptiest(upstreams: readonly UpstreamFit[], wanted: number): string[] {
+  return fillInOrder(sortTightest(upstreams).reverse(), wanted)
 }
 
-function sortTightest(rooms: readonly CountedRoom[]): CountedRoom[] {
-  return rooms
+function sortTightest(upstreams: readonly UpstreamFit[]): UpstreamFit[] {
+  return upstreams
     .filter(({ count }) => count > 0)
     .sort(
       (left, right) =>
-        left.left.accelerators - right.left.accelerators ||
-        left.left.cpuMillicores - right.left.cpuMillicores,
+        left.free.accelerators - right.free.accelerators ||
+        left.free.cpuMillicores - right.free.cpuMillicores,
     )
 }
 
-function fillInOrder(rooms: readonly CountedRoom[], wanted: number): string[] {
-  const places: string[] = []
-  for (const { upstreamId, count } of rooms) {
-    const taken = Math.min(count, wanted - places.length)
-    for (let task = 0; task < taken; task++) places.push(upstreamId)
+function fillInOrder(upstreams: readonly UpstreamFit[], wanted: number): string[] {
+  const upstreamIds: string[] = []
+  for (const { upstreamId, count } of upstreams) {
+    const taken = Math.min(count, wanted - upstreamIds.length)
+    for (let task = 0; task < taken; task++) upstreamIds.push(upstreamId)
   }
-  return places
+  return upstreamIds
 }
--- a/batch/scheduler/src/fitTracker.ts
+++ b/batch/scheduler/src/fitTracker.ts
@@ -6,83 +6,83 @@
 import type { Placement } from '@nettlespur/batch.state'
 import { fillTightest } from './fillTightest.js'
 import { addResources } from './resources.js'
-import { countTasksIn, type BookedRoom, type RoomBook } from './roomBook.js'
+import { countTasksIn, type UpstreamAllocation, type RoundAllocations } from './roundAllocations.js'
 import { listScopes } from './listScopes.js'
 import type { StartUnit } from './startUnit.js'
 
-interface TrackedRoom {
+interface TrackedUpstream {
   readonly upstreamId: string
-  left: Resources
+  free: Resources
   count: number
 }
 
 /** Upstreams that can take the unit together: those of one rack, or all that it may use. */
 export class FitScope {
   readonly #unit: StartUnit
-  readonly #rooms: ReadonlyMap<string, TrackedRoom>
+  readonly #upstreams: ReadonlyMap<string, TrackedUpstream>
   #total = 0
 
   constructor(
     unit: StartUnit,
-    rooms: readonly BookedRoom[],
-    roomOf: (room: BookedRoom) => Resources,
+    upstreams: readonly UpstreamAllocation[],
+    freeOf: (upstream: UpstreamAllocation) => Resources,
   ) {
     this.#unit = unit
-    const tracked = rooms.map((room) => {
-      const left = roomOf(room)
-      const count = countTasksIn(unit, room.upstreamId, left)
+    const tracked = upstreams.map((upstream) => {
+      const free = freeOf(upstream)
+      const count = countTasksIn(unit, upstream.upstreamId, free)
       this.#total += count
-      return { upstreamId: room.upstreamId, left, count }
+      return { upstreamId: upstream.upstreamId, free: free, count }
     })
-    this.#rooms = new Map(tracked.map((room) => [room.upstreamId, room]))
+    this.#upstreams = new Map(tracked.map((upstream) => [upstream.upstreamId, upstream]))
   }
 
   get fits(): boolean {
-    return this.missing === 0
+    return this.unplacedCount === 0
   }
 
   /** Tasks of the unit that find no place. */
-  get missing(): number {
+  get unplacedCount(): number {
     return Math.max(0, this.#unit.waiting.length - this.#total)
   }
 
   /** Tasks of the unit that fit on one upstream. */
   countOn(upstreamId: string): number {
-    return this.#rooms.get(upstreamId)?.count ?? 0
+    return this.#upstreams.get(upstreamId)?.count ?? 0
   }
 
   has(upstreamId: string): boolean {
-    return this.#rooms.has(upstreamId)
+    return this.#upstreams.has(upstreamId)
   }
 
   /** Gives the room of runs back, or with `times` -1 takes it again. */
-  change(runs: readonly Placement[], needs: Resources, times: 1 | -1): void {
+  adjustFree(runs: readonly Placement[], needs: Resources, sign: 1 | -1): void {
     for (const { upstreamId } of runs) {
-      const room = this.#rooms.get(upstreamId)
-      if (room === undefined) continue
-      room.left = addResources(room.left, needs, times)
-      this.#total -= room.count
-      room.count = countTasksIn(this.#unit, upstreamId, room.left)
-      this.#total += room.count
+      const upstream = this.#upstreams.get(upstreamId)
+      if (upstream === undefined) continue
+      upstream.free = addResources(upstream.free, needs, sign)
+      this.#total -= upstream.count
+      upstream.count = countTasksIn(this.#unit, upstreamId, upstream.free)
+      this.#total += upstream.count
     }
   }
 
   /** What is left of an upstream's room; undefined outside the scope. */
-  leftOf(upstreamId: string): Resources | undefined {
-    return this.#rooms.get(upstreamId)?.left
+  freeOn(upstreamId: string): Resources | undefined {
+    return this.#upstreams.get(upstreamId)?.free
   }
 
   /** An upstream for each task of the unit. To be called where it fits. */
-  choosePlaces(): string[] {
-    return fillTightest([...this.#rooms.values()], this.#unit.waiting.length)
+  chooseUpstreams(): string[] {
+    return fillTightest([...this.#upstreams.values()], this.#unit.waiting.length)
   }
 }
 
 /** The scopes of a unit, with the room that `roomOf` says. */
 export function trackScopes(
   unit: StartUnit,
-  book: RoomBook,
-  roomOf: (room: BookedRoom) => Resources,
+  allocations: RoundAllocations,
+  freeOf: (upstream: UpstreamAllocation) => Resources,
 ): FitScope[] {
-  return listScopes(unit, book).map((rooms) => new FitScope(unit, rooms, roomOf))
+  return listScopes(unit, allocations).map((upstreams) => new FitScope(unit, upstreams, freeOf))
 }
--- a/batch/scheduler/src/index.ts
+++ b/batch/scheduler/src/index.ts
@@ -6,5 +6,5 @@
   Preemption,
   RoundDecision,
   SchedulerView,
-  UpstreamRoom,
+  SchedulableUpstream,
 } from './schedulerView.js'
--- a/batch/scheduler/src/jobTiming.ts
+++ b/batch/scheduler/src/jobTiming.ts
@@ -3,12 +3,12 @@
 import type { JobRecord } from '@nettlespur/batch.state'
 
 /** A job that ends later than this many times its objective is worth nothing any more. */
-const lateLimitTimes = 3
+const lateLimitFactor = 3
 
-export type Hope = 'on-time' | 'late' | 'none'
+export type Timeliness = 'on-time' | 'late' | 'none'
 
 /** The expected time of the longest chain of steps, in milliseconds. */
-export function measureChainMs(steps: readonly StepSpec[]): number {
+export function measureCriticalPathMs(steps: readonly StepSpec[]): number {
   const endsMs: number[] = []
   for (const { dependsOn, expectedRunTimeMs } of steps) {
     const startMs = Math.max(0, ...dependsOn.map((number) => endsMs[number] ?? 0))
@@ -26,28 +26,28 @@
 }
 
 export function measureObjectiveMs({ queue, request }: JobRecord): number {
-  return queue.stretch * measureChainMs(request.steps) + queue.targetLatencyMs
+  return queue.stretch * measureCriticalPathMs(request.steps) + queue.targetLatencyMs
 }
 
 export interface JobTiming {
   /** Since the job was accepted, as far as this leader knows. */
   readonly waitedMs: number
-  readonly hope: Hope
+  readonly timeliness: Timeliness
   /** The latest start with which the job still ends in time. */
   readonly latestStartMs: number
   /** The latest start with which it is still worth something. */
   readonly lastUsefulStartMs: number
 }
 
-export function judgeTiming(job: JobRecord, acceptedAtMs: number, nowMs: number): JobTiming {
+export function computeTiming(job: JobRecord, acceptedAtMs: number, nowMs: number): JobTiming {
   const objectiveMs = measureObjectiveMs(job)
   const remainingMs = measureRemainingMs(job)
   const latestStartMs = acceptedAtMs + objectiveMs - remainingMs
-  const lastUsefulStartMs = acceptedAtMs + objectiveMs * lateLimitTimes - remainingMs
-  const lateHope = nowMs <= lastUsefulStartMs ? 'late' : 'none'
+  const lastUsefulStartMs = acceptedAtMs + objectiveMs * lateLimitFactor - remainingMs
+  const timelinessIfLate = nowMs <= lastUsefulStartMs ? 'late' : 'none'
   return {
     waitedMs: nowMs - acceptedAtMs,
-    hope: nowMs <= latestStartMs ? 'on-time' : lateHope,
+    timeliness: nowMs <= latestStartMs ? 'on-time' : timelinessIfLate,
     latestStartMs,
     lastUsefulStartMs,
   }
--- a/batch/scheduler/src/listGuaranteed.ts
+++ b/batch/scheduler/src/listGuaranteedJobs.ts
@@ -5,7 +5,7 @@
 const guaranteedPriority = 0
 
 /** Ids of the jobs that together need no more than the guarantee of their workspace, the oldest first. */
-export function listGuaranteed(
+export function listGuaranteedJobs(
   jobs: readonly JobRecord[],
   guarantees: ReadonlyMap<string, number>,
 ): Set<string> {
@@ -13,7 +13,7 @@
   const guaranteed = new Set<string>()
   for (const job of jobs) {
     if (job.status !== 'active' || job.queue.priority !== guaranteedPriority) continue
-    const remaining = (left.get(job.workspace) ?? 0) - countAccelerators(job)
+    const remaining = (left.get(job.workspace) ?? 0) - countPeakAccelerators(job)
     if (remaining < 0) continue
     left.set(job.workspace, remaining)
     guaranteed.add(job.request.jobId)
@@ -22,6 +22,6 @@
 }
 
 /** The most that any of its steps holds at a time. */
-function countAccelerators({ request: { steps } }: JobRecord): number {
+function countPeakAccelerators({ request: { steps } }: JobRecord): number {
   return Math.max(...steps.map(({ taskCount, needs }) => taskCount * needs.accelerators))
 }
--- a/batch/scheduler/src/listScopes.ts
+++ b/batch/scheduler/src/listScopes.ts
@@ -1,35 +1,42 @@
 /** The groups of upstreams of which one has to take a unit alone. */
-import { countWhenEmpty, type BookedRoom, type RoomBook } from './roomBook.js'
+import {
+  countWhenEmpty,
+  type UpstreamAllocation,
+  type RoundAllocations,
+} from './roundAllocations.js'
 import type { StartUnit } from './startUnit.js'
 
 /**
  * For a gang that is slow across racks each rack that could take it when empty; all racks together only where
  * none could. For others one group of all upstreams that they may use.
  */
-export function listScopes(unit: StartUnit, book: RoomBook): BookedRoom[][] {
-  const allowed = keepDataRack(unit, book.listAllowed(unit))
-  if (!unit.step.isGang || !unit.step.prefersOneRack) return [allowed]
-  const fitting = [...groupByRack(allowed).values()].filter((rooms) => {
-    const whenEmpty = rooms.reduce((sum, room) => sum + countWhenEmpty(unit.step, room), 0)
+export function listScopes(unit: StartUnit, allocations: RoundAllocations): UpstreamAllocation[][] {
+  const eligible = preferDataRack(unit, allocations.listEligible(unit))
+  if (!unit.step.isGang || !unit.step.prefersOneRack) return [eligible]
+  const fitting = [...groupByRack(eligible).values()].filter((upstreams) => {
+    const whenEmpty = upstreams.reduce(
+      (sum, upstream) => sum + countWhenEmpty(unit.step, upstream),
+      0,
+    )
     return whenEmpty >= unit.waiting.length
   })
-  return fitting.length > 0 ? fitting : [allowed]
+  return fitting.length > 0 ? fitting : [eligible]
 }
 
 /** Elsewhere the tasks would take several times as long: that is left for when the rack is gone. */
-function keepDataRack({ step }: StartUnit, allowed: BookedRoom[]): BookedRoom[] {
-  if (step.dataRack === undefined) return allowed
-  const near = allowed.filter(({ room }) => room.rack === step.dataRack)
-  return near.length > 0 ? near : allowed
+function preferDataRack({ step }: StartUnit, eligible: UpstreamAllocation[]): UpstreamAllocation[] {
+  if (step.dataRack === undefined) return eligible
+  const inDataRack = eligible.filter(({ view: view }) => view.rack === step.dataRack)
+  return inDataRack.length > 0 ? inDataRack : eligible
 }
 
-function groupByRack(rooms: readonly BookedRoom[]): Map<string, BookedRoom[]> {
-  const racks = new Map<string, BookedRoom[]>()
-  for (const room of rooms) {
-    const { rack } = room.room
+function groupByRack(upstreams: readonly UpstreamAllocation[]): Map<string, UpstreamAllocation[]> {
+  const racks = new Map<string, UpstreamAllocation[]>()
+  for (const upstream of upstreams) {
+    const { rack } = upstream.view
     const group = racks.get(rack)
-    if (group === undefined) racks.set(rack, [room])
-    else group.push(room)
+    if (group === undefined) racks.set(rack, [upstream])
+    else group.push(upstream)
   }
   return racks
 }
--- a/batch/scheduler/src/listVictimGroups.ts
+++ b/batch/scheduler/src/listVictimGroups.ts
@@ -1,7 +1,7 @@
 /** Which runs may be stopped for guaranteed work: all but those that are guaranteed themselves. */
 import { runKey, type Resources } from '@nettlespur/batch.model'
 import type { JobRecord, Placement } from '@nettlespur/batch.state'
-import { urgentPriority } from './limitStopCost.js'
+import { urgentPriority } from './computeStopCostLimit.js'
 import type { ActiveRun, SchedulerView } from './schedulerView.js'
 
 /** Runs that can only be stopped together. */
@@ -13,7 +13,7 @@
 }
 
 /** Urgent work that is stopped is late as well: it is stopped only where that saves much other work. */
-const urgentCostTimes = 5
+const urgentCostFactor = 5
 
 /** The cheapest for the accelerators that come free first. */
 export function listVictimGroups(
@@ -25,17 +25,19 @@
   for (const run of runs) {
     const job = byId.get(run.placement.jobId)
     if (job === undefined || run.isStopping || guaranteed.has(run.placement.jobId)) continue
-    join(groups, run, job)
+    addToGroup(groups, run, job)
   }
-  return [...groups.values()].sort((left, right) => priceOf(left) - priceOf(right))
+  return [...groups.values()].sort(
+    (left, right) => costPerAccelerator(left) - costPerAccelerator(right),
+  )
 }
 
-function join(groups: Map<string, VictimGroup>, run: ActiveRun, job: JobRecord): void {
+function addToGroup(groups: Map<string, VictimGroup>, run: ActiveRun, job: JobRecord): void {
   const { placement, stopCostCoreSeconds } = run
   const step = job.request.steps[placement.step]
   if (step === undefined) return
   const key = groupKey(placement, step.isGang)
-  const weight = job.queue.priority === urgentPriority ? urgentCostTimes : 1
+  const weight = job.queue.priority === urgentPriority ? urgentCostFactor : 1
   const group = groups.get(key) ?? { runs: [], needs: step.needs, costCoreSeconds: 0 }
   group.runs.push(placement)
   group.costCoreSeconds += stopCostCoreSeconds * weight
@@ -53,6 +55,6 @@
 }
 
 /** Cost for each accelerator that comes free. */
-function priceOf({ runs, needs, costCoreSeconds }: VictimGroup): number {
+function costPerAccelerator({ runs, needs, costCoreSeconds }: VictimGroup): number {
   return costCoreSeconds / Math.max(1, runs.length * needs.accelerators)
 }
--- a/batch/scheduler/src/orderUnits.ts
+++ b/batch/scheduler/src/orderUnits.ts
@@ -1,16 +1,16 @@
 /** Who is served first: guaranteed work, then by hope of ending in time, priority and the latest start. */
-import { judgeTiming, type Hope, type JobTiming } from './jobTiming.js'
+import { computeTiming, type Timeliness, type JobTiming } from './jobTiming.js'
 import type { SchedulerView } from './schedulerView.js'
 import { listUnits, type StartUnit } from './startUnit.js'
 
-const hopeRank: Readonly<Record<Hope, number>> = { 'on-time': 0, late: 1, none: 2 }
+const timelinessRank: Readonly<Record<Timeliness, number>> = { 'on-time': 0, late: 1, none: 2 }
 
 export interface RankedUnit extends StartUnit, JobTiming {
   readonly isGuaranteed: boolean
   /** It goes before what ranks higher; see `putOverdueFirst`. */
   readonly isOverdue: boolean
   /** Where no rack takes it, several together may. */
-  readonly maySpread: boolean
+  readonly canSpanRacks: boolean
 }
 
 export function orderUnits(view: SchedulerView, guaranteed: ReadonlySet<string>): RankedUnit[] {
@@ -19,20 +19,20 @@
     const units = listUnits(job, view)
     if (units.length === 0) return []
     const acceptedAtMs = view.acceptedAtMs.get(jobId) ?? view.nowMs
-    const timing = judgeTiming(job, acceptedAtMs, view.nowMs)
+    const timing = computeTiming(job, acceptedAtMs, view.nowMs)
     const isGuaranteed = guaranteed.has(jobId)
     return units.map((unit) => ({
       ...unit,
       ...timing,
       isGuaranteed,
       isOverdue: false,
-      maySpread: false,
+      canSpanRacks: false,
     }))
   })
   return ranked.sort(
     (left, right) =>
       Number(right.isGuaranteed) - Number(left.isGuaranteed) ||
-      hopeRank[left.hope] - hopeRank[right.hope] ||
+      timelinessRank[left.timeliness] - timelinessRank[right.timeliness] ||
       left.job.queue.priority - right.job.queue.priority ||
       left.latestStartMs - right.latestStartMs ||
       left.job.number - right.job.number,
--- a/batch/scheduler/src/putOverdueFirst.ts
+++ b/batch/scheduler/src/promoteOverdueGang.ts
@@ -6,86 +6,99 @@
 import { listScopes } from './listScopes.js'
 import type { RankedUnit } from './orderUnits.js'
 import { addResources, noResources } from './resources.js'
-import { countWhenEmpty, type RoomBook } from './roomBook.js'
+import { countWhenEmpty, type RoundAllocations } from './roundAllocations.js'
 import type { StartUnit } from './startUnit.js'
 
 /** How long a gang that can earn nothing any more goes on waiting behind all others: it must end too. */
-const patienceMs = 15_000
+const overdueGraceMs = 15_000
 /** While this share of a pool is free, a gang waits only for where the smaller work runs. */
-const spaciousShare = 0.5
+const ampleFreeShare = 0.5
 /**
  * How many times as long a gang that prefers one rack runs across racks, by the platform's agreement. It waits no
  * longer than being spread costs it, so that it never loses more than twice the least; and it is spread only while
  * half of its pool is free, where it keeps nobody waiting. Otherwise it could wait without end beside ample room.
  */
-const spreadTimes = 3
+const crossRackSlowdown = 3
 /** What the gang needs is free this many times over. */
-const spaciousTimes = 2
+const ampleNeedsFactor = 2
 
-interface PoolSums {
+interface PoolCapacity {
   free: Resources
   capacity: Resources
 }
 
 /** The same units; the oldest gang that is overdue comes right behind the guaranteed ones. */
-export function putOverdueFirst(units: readonly RankedUnit[], book: RoomBook): RankedUnit[] {
+export function promoteOverdueGang(
+  units: readonly RankedUnit[],
+  allocations: RoundAllocations,
+): RankedUnit[] {
   const gangs = units.filter(({ step, isGuaranteed }) => step.isGang && !isGuaranteed)
   if (gangs.length === 0) return [...units]
-  const pools = sumPools(book)
-  const overdue = findOverdue(gangs, pools, book)
+  const pools = sumPoolCapacities(allocations)
+  const overdue = findOverdueGang(gangs, pools, allocations)
   if (overdue === undefined) return [...units]
-  const maySpread = isSpacious(overdue, pools) && hasWaitedForRack(overdue)
+  const canSpanRacks = hasAmpleCapacity(overdue, pools) && hasWaitedForRack(overdue)
   const others = units.filter((unit) => unit !== overdue)
   const guaranteed = others.filter(({ isGuaranteed }) => isGuaranteed)
   const rest = others.filter(({ isGuaranteed }) => !isGuaranteed)
-  return [...guaranteed, { ...overdue, isOverdue: true, maySpread }, ...rest]
+  return [...guaranteed, { ...overdue, isOverdue: true, canSpanRacks: canSpanRacks }, ...rest]
 }
 
-function findOverdue(
+function findOverdueGang(
   gangs: readonly RankedUnit[],
-  pools: ReadonlyMap<string, PoolSums>,
-  book: RoomBook,
+  pools: ReadonlyMap<string, PoolCapacity>,
+  allocations: RoundAllocations,
 ): RankedUnit | undefined {
   return [...gangs]
     .sort((left, right) => left.job.number - right.job.number)
-    .find((unit) => (isPatienceOver(unit, book) || isSpacious(unit, pools)) && couldFit(unit, book))
+    .find(
+      (unit) =>
+        (isPastGrace(unit, allocations) || hasAmpleCapacity(unit, pools)) &&
+        canFitWhenEmpty(unit, allocations),
+    )
 }
 
 function hasWaitedForRack({ step, waitedMs }: RankedUnit): boolean {
-  return step.prefersOneRack && waitedMs >= step.expectedRunTimeMs * (spreadTimes - 1)
+  return step.prefersOneRack && waitedMs >= step.expectedRunTimeMs * (crossRackSlowdown - 1)
 }
 
-function isPatienceOver({ lastUsefulStartMs }: RankedUnit, { nowMs }: RoomBook): boolean {
-  return nowMs > lastUsefulStartMs + patienceMs
+function isPastGrace({ lastUsefulStartMs }: RankedUnit, { nowMs }: RoundAllocations): boolean {
+  return nowMs > lastUsefulStartMs + overdueGraceMs
 }
 
 /** By accelerators, or by cores for a gang that needs none. */
-function isSpacious({ job, step, waiting }: StartUnit, pools: ReadonlyMap<string, PoolSums>) {
+function hasAmpleCapacity(
+  { job, step, waiting }: StartUnit,
+  pools: ReadonlyMap<string, PoolCapacity>,
+) {
   const { needs } = step
   const pool = pools.get(job.queue.pool)
   if (pool === undefined) return false
-  const countOf = ({ accelerators, cpuMillicores }: Resources): number =>
+  const selectAmount = ({ accelerators, cpuMillicores }: Resources): number =>
     needs.accelerators > 0 ? accelerators : cpuMillicores
-  const free = countOf(pool.free)
-  const needed = countOf(needs) * waiting.length
-  return free >= countOf(pool.capacity) * spaciousShare && free >= needed * spaciousTimes
+  const free = selectAmount(pool.free)
+  const needed = selectAmount(needs) * waiting.length
+  return free >= selectAmount(pool.capacity) * ampleFreeShare && free >= needed * ampleNeedsFactor
 }
 
-function sumPools({ rooms }: RoomBook): Map<string, PoolSums> {
-  const pools = new Map<string, PoolSums>()
-  for (const { room } of rooms) {
-    const sums = pools.get(room.pool) ?? { free: noResources, capacity: noResources }
-    sums.free = addResources(sums.free, room.free)
-    sums.capacity = addResources(sums.capacity, room.capacity)
-    pools.set(room.pool, sums)
+function sumPoolCapacities({ upstreams: upstreams }: RoundAllocations): Map<string, PoolCapacity> {
+  const pools = new Map<string, PoolCapacity>()
+  for (const { view: view } of upstreams) {
+    const sums = pools.get(view.pool) ?? { free: noResources, capacity: noResources }
+    sums.free = addResources(sums.free, view.free)
+    sums.capacity = addResources(sums.capacity, view.capacity)
+    pools.set(view.pool, sums)
   }
   return pools
 }
 
 /** A gang that no empty upstreams could take must not stand before the others. */
-function couldFit(unit: StartUnit, book: RoomBook): boolean {
-  return listScopes(unit, book).some((rooms) => {
-    const whenEmpty = rooms.reduce((sum, room) => sum + countWhenEmpty(unit.step, room), 0)
+function canFitWhenEmpty(unit: StartUnit, allocations: RoundAllocations): boolean {
+  return listScopes(unit, allocations).some((upstreams) => {
+    const whenEmpty = upstreams.reduce(
+      (sum, upstream) => sum + countWhenEmpty(unit.step, upstream),
+      0,
+    )
     return whenEmpty >= unit.waiting.length
   })
 }
--- a/batch/scheduler/src/resources.ts
+++ b/batch/scheduler/src/resources.ts
@@ -19,13 +19,13 @@
 /** How many tasks of this size fit; negative room fits none. */
 export function countFitting(free: Resources, needs: Resources): number {
   return Math.min(
-    countOf(free.cpuMillicores, needs.cpuMillicores),
-    countOf(free.memoryMiB, needs.memoryMiB),
-    countOf(free.accelerators, needs.accelerators),
+    countForOneResource(free.cpuMillicores, needs.cpuMillicores),
+    countForOneResource(free.memoryMiB, needs.memoryMiB),
+    countForOneResource(free.accelerators, needs.accelerators),
   )
 }
 
-function countOf(free: number, needed: number): number {
+function countForOneResource(free: number, needed: number): number {
   return needed === 0 ? (free < 0 ? 0 : Infinity) : Math.max(0, Math.floor(free / needed))
 }
 
--- a/batch/scheduler/src/schedulerView.ts
+++ b/batch/scheduler/src/schedulerView.ts
@@ -3,7 +3,7 @@
 import type { Resources, TaskRef } from '@nettlespur/batch.model'
 
 /** An upstream that may be given work. */
-export interface UpstreamRoom {
+export interface SchedulableUpstream {
   readonly upstreamId: string
   readonly pool: string
   readonly rack: string
@@ -12,9 +12,9 @@
   /** What one more task may take now. */
   readonly free: Resources
   /** `free`, and what runs that are being stopped will give back. */
-  readonly soon: Resources
+  readonly freeAfterStops: Resources
   /** What starts there would be the only one to blame if it crashed: no run there is new, and it has not crashed lately. */
-  readonly isQuiet: boolean
+  readonly isSuitableForTrial: boolean
 }
 
 /** A run that may be stopped for others. */
@@ -35,7 +35,7 @@
   readonly jobs: readonly JobRecord[]
   /** When each job came, on the clock of `nowMs`. */
   readonly acceptedAtMs: ReadonlyMap<string, number>
-  readonly rooms: readonly UpstreamRoom[]
+  readonly upstreams: readonly SchedulableUpstream[]
   readonly runs: readonly ActiveRun[]
   /** Whether the run was seen at work for long enough that it will not crash its upstream by being started. */
   readonly isProven: (run: Placement) => boolean
--- a/batch/scheduler/src/startUnit.ts
+++ b/batch/scheduler/src/startUnit.ts
@@ -30,7 +30,7 @@
   if (job.status !== 'active') return []
   return job.request.steps.flatMap((step, stepNumber) => {
     const record = job.steps[stepNumber]
-    if (record === undefined || !areDone(job, step.dependsOn)) return []
+    if (record === undefined || !areStepsDone(job, step.dependsOn)) return []
     const { jobId } = job.request
     const waiting = listWaiting(record).filter(
       (index) => !isPaused({ jobId, step: stepNumber, index }),
@@ -62,7 +62,7 @@
 }
 
 /** Places the waiting tasks, in their order, on as many upstreams as are given. */
-export function placeUnit(unit: StartUnit, upstreamIds: readonly string[]): Placement[] {
+export function createPlacements(unit: StartUnit, upstreamIds: readonly string[]): Placement[] {
   const { job, stepNumber, step, record, waiting } = unit
   const gangAttempt = Math.max(...record.tasks.map(({ attempt }) => attempt)) + 1
   return upstreamIds.flatMap((upstreamId, at) => {
@@ -73,7 +73,7 @@
   })
 }
 
-function areDone(job: JobRecord, stepNumbers: readonly number[]): boolean {
+function areStepsDone(job: JobRecord, stepNumbers: readonly number[]): boolean {
   return stepNumbers.every((number) =>
     job.steps[number]?.tasks.every(({ phase }) => phase === 'done'),
   )
--- a/batch/scheduler/src/victimIndex.ts
+++ b/batch/scheduler/src/victimIndex.ts
@@ -14,7 +14,7 @@
   constructor(groups: readonly VictimGroup[]) {
     this.#groups = groups
     for (const group of groups) {
-      for (const upstreamId of upstreamsOf(group)) this.#add(upstreamId, group)
+      for (const upstreamId of listUpstreamIds(group)) this.#add(upstreamId, group)
     }
   }
 
@@ -23,13 +23,13 @@
     return [...this.#byUpstream.keys()]
   }
 
-  on(upstreamId: string): readonly VictimGroup[] {
+  listOn(upstreamId: string): readonly VictimGroup[] {
     return this.#byUpstream.get(upstreamId) ?? none
   }
 
-  without(stopped: readonly VictimGroup[]): VictimIndex {
-    const gone = new Set(stopped)
-    return new VictimIndex(this.#groups.filter((group) => !gone.has(group)))
+  without(removed: readonly VictimGroup[]): VictimIndex {
+    const removedGroups = new Set(removed)
+    return new VictimIndex(this.#groups.filter((group) => !removedGroups.has(group)))
   }
 
   #add(upstreamId: string, group: VictimGroup): void {
@@ -40,6 +40,6 @@
 }
 
 /** Each once, however many runs of the group it holds. */
-export function upstreamsOf({ runs }: VictimGroup): Set<string> {
+export function listUpstreamIds({ runs }: VictimGroup): Set<string> {
   return new Set(runs.map(({ upstreamId }) => upstreamId))
 }
--- a/batch/service/src/buildView.ts
+++ b/batch/service/src/buildView.ts
@@ -6,7 +6,7 @@
   noResources,
   type ActiveRun,
   type SchedulerView,
-  type UpstreamRoom,
+  type SchedulableUpstream,
 } from '@nettlespur/batch.scheduler'
 import type { RunTrack } from '@nettlespur/batch.sessions'
 import type { BatchState, Placement, UpstreamRecord } from '@nettlespur/batch.state'
@@ -45,7 +45,7 @@
     nowMs,
     jobs: [...state.unsettled.values()],
     acceptedAtMs,
-    rooms: usable.map((upstream) => buildRoom(opts, upstream)),
+    upstreams: usable.map((upstream) => buildRoom(opts, upstream)),
     isPaused: opts.isPaused,
     isProven: (placement) => opts.findTrack(placement)?.isProven === true,
     // Only rounds in which something does not fit look at what runs.
@@ -58,11 +58,11 @@
   }
 }
 
-function buildRoom(opts: BuildViewOptions, upstream: UpstreamRecord): UpstreamRoom {
+function buildRoom(opts: BuildViewOptions, upstream: UpstreamRecord): SchedulableUpstream {
   const { upstreamId, pool, rack, labels, capacity } = upstream.description
   const known = { upstreamId, pool, rack, labels, capacity }
   if (opts.hasTrial(upstream)) {
-    return { ...known, free: noResources, soon: noResources, isQuiet: false }
+    return { ...known, free: noResources, freeAfterStops: noResources, isSuitableForTrial: false }
   }
   let used: Resources = noResources
   let stopping: Resources = noResources
@@ -75,9 +75,9 @@
   return {
     ...known,
     free,
-    soon: addResources(free, stopping),
+    freeAfterStops: addResources(free, stopping),
     // Only starts on trial ask for it.
-    get isQuiet() {
+    get isSuitableForTrial() {
       return opts.isQuiet(upstream)
     },
   }
