--- a/batch/model/src/findQueue.ts
+++ b/batch/model/src/findQueue.ts
@@ -1,7 +1,7 @@
 /** Which queue and workspace a call belongs to. */
 import type { ClusterConfig, QueueConfig, WorkspaceConfig } from './clusterConfig.js'
 
-export interface QueuePlace {
+export interface CallTarget {
   readonly host: string
   readonly path: string
 }
@@ -9,7 +9,7 @@
 /** The queue with the longest prefix that the path begins with; undefined where none fits. */
 export function findQueue(
   { queues }: ClusterConfig,
-  { host, path }: QueuePlace,
+  { host, path }: CallTarget,
 ): QueueConfig | undefined {
   let best: QueueConfig | undefined
   for (const queue of queues) {
--- a/batch/model/src/listConfigFaults.ts
+++ b/batch/model/src/listConfigFaults.ts
@@ -4,14 +4,14 @@
 /** One line a fault; none where the configuration may be put in force. */
 export function listConfigFaults(config: ClusterConfig): string[] {
   const pools = new Set(config.pools.map(({ name }) => name))
-  const homeless = config.queues
+  const withoutPool = config.queues
     .filter(({ pool }) => !pools.has(pool))
     .map(({ name, pool }) => `queue ${name}: no such pool: ${pool}`)
-  const places = config.queues.map(({ host, pathPrefix }) => `${host} ${pathPrefix}`)
+  const routes = config.queues.map(({ host, pathPrefix }) => `${host} ${pathPrefix}`)
   const keys = config.workspaces.flatMap((workspace) => [...new Set(workspace.keys)])
   return [
-    ...homeless,
-    ...listRepeated(places).map((place) => `two queues have the same host and path: ${place}`),
+    ...withoutPool,
+    ...listRepeated(routes).map((route) => `two queues have the same host and path: ${route}`),
     ...listRepeated(config.pools.map(({ name }) => name)).map((name) => `two pools named ${name}`),
     ...listRepeated(keys).map(() => 'two workspaces share a key'),
   ]
