--- a/batch/fakes/src/fakeUpstream.ts
+++ b/batch/fakes/src/fakeUpstream.ts
@@ -17,9 +17,9 @@
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { FleetLedger } from './fleetLedger.js'
 
-const stopMs = 300
+const stopDurationMs = 300
 /** A room that shrank counts this much later: its next announcement may be delayed. */
-const shrunkGraceMs = 4500
+const shrinkGraceMs = 4500
 /** From the start of a run that crashes its upstream until the crash. */
 const crashAfterMs = 10
 
@@ -50,25 +50,25 @@
   readonly #opts: FakeUpstreamOptions
   readonly #held = new Map<string, HeldRun>()
   /** The highest attempt of each task that ended or was stopped here. */
-  readonly #closed = new Map<string, number>()
+  readonly #closedAttempts = new Map<string, number>()
   #finished: FinishedRun[] = []
-  #ends = 0
+  #endCount = 0
   /** Ends up to this one were listed when a lease lapsed: by the platform's agreement they no longer count. */
-  #lapsedEnds = 0
+  #lastLapsedEnd = 0
   #fence = 0
   #leaseEndMs = 0
   #leaseTimer: Timer | undefined
   readonly #waiters = new Set<() => void>()
   #accelerators: number
   #shrunkAtMs = -Infinity
-  #isRoomHeard = true
+  #isCapacityAnnounced = true
 
   constructor(opts: FakeUpstreamOptions) {
     this.#opts = opts
     this.#accelerators = opts.ledger.acceleratorsEach
     this.upstreamId = opts.upstreamId
     this.address = opts.address
-    opts.ledger.addHolder(this)
+    opts.ledger.addUpstream(this)
   }
 
   get clockMs(): number {
@@ -84,13 +84,13 @@
   resize(accelerators: number): void {
     if (accelerators < this.#accelerators) this.#shrunkAtMs = this.#opts.clock.monotonicMs()
     this.#accelerators = accelerators
-    this.#isRoomHeard = false
+    this.#isCapacityAnnounced = false
   }
 
   /** An announcement was answered, or was not: a room that has shrunk counts from the first that was. */
   noteAnnounced(isAnswered: boolean): void {
-    if (this.#isRoomHeard) return
-    this.#isRoomHeard = isAnswered
+    if (this.#isCapacityAnnounced) return
+    this.#isCapacityAnnounced = isAnswered
     if (this.#shrunkAtMs > -Infinity) this.#shrunkAtMs = this.#opts.clock.monotonicMs()
   }
 
@@ -100,21 +100,21 @@
     if (fence < this.#fence) return { type: 'refused', reason: 'fence', clockMs }
     this.#fence = fence
     if (leaseEndMs <= clockMs) return { type: 'refused', reason: 'lease-over', clockMs }
-    this.#renew(leaseEndMs)
+    this.#renewLease(leaseEndMs)
     if (this.#held.has(runKey(run))) return { type: 'started', clockMs }
-    if ((this.#closed.get(taskKey(run)) ?? 0) >= run.attempt) {
+    if ((this.#closedAttempts.get(taskKey(run)) ?? 0) >= run.attempt) {
       return { type: 'refused', reason: 'superseded', clockMs }
     }
     const needs = ledger.needsOf(run)
     const startedAtMs = clock.monotonicMs()
-    if (this.#used() + needs.accelerators > this.#accelerators) {
+    if (this.#countUsedAccelerators() + needs.accelerators > this.#accelerators) {
       if (this.#opts.guardsCapacity !== false)
         return { type: 'refused', reason: 'no-room', clockMs }
-      if (startedAtMs - this.#shrunkAtMs > shrunkGraceMs) ledger.noteOverfilled(run)
+      if (startedAtMs - this.#shrunkAtMs > shrinkGraceMs) ledger.noteOvercommitted(run)
     }
     this.#held.set(runKey(run), { run, needs, startedAtMs, isStopping: false })
     ledger.noteStart(run, this)
-    if (ledger.crashes(run)) this.#crashSoon(run)
+    if (ledger.shouldCrash(run)) this.#crashSoon(run)
     return { type: 'started', clockMs }
   }
 
@@ -122,11 +122,11 @@
     const clockMs = this.clockMs
     if (fence < this.#fence) return { type: 'fence', clockMs }
     this.#fence = fence
-    this.#close(run)
+    this.#closeAttempt(run)
     const held = this.#held.get(runKey(run))
     if (held !== undefined && !held.isStopping) {
       held.isStopping = true
-      this.#opts.clock.setTimer(stopMs, () => {
+      this.#opts.clock.setTimer(stopDurationMs, () => {
         this.end(run, 'stopped')
       })
     }
@@ -136,10 +136,10 @@
   async hold({ leaseEndMs, fence, cursor, waitMs }: HoldOrder): Promise<HoldAnswer> {
     if (fence < this.#fence) return { type: 'fence', clockMs: this.clockMs }
     this.#fence = fence
-    if (leaseEndMs !== undefined) this.#renew(leaseEndMs)
+    if (leaseEndMs !== undefined) this.#renewLease(leaseEndMs)
     const { ledger, clock } = this.#opts
     for (const { number, run } of this.#finished) {
-      if (number <= cursor && number > this.#lapsedEnds) ledger.noteAcknowledged(run)
+      if (number <= cursor && number > this.#lastLapsedEnd) ledger.noteAcknowledged(run)
     }
     this.#finished = this.#finished.filter(({ number }) => number > cursor)
     if (waitMs > 0 && this.#finished.length === 0) await this.#waitForEnd(clock, waitMs)
@@ -160,9 +160,9 @@
   /** The run ends, unless it has ended before. */
   end(run: RunRef, outcome: FinishedOutcome): void {
     if (!this.isUp || !this.#held.delete(runKey(run))) return
-    this.#close(run)
-    this.#ends += 1
-    this.#finished.push({ number: this.#ends, run, outcome, checkpoint: '' })
+    this.#closeAttempt(run)
+    this.#endCount += 1
+    this.#finished.push({ number: this.#endCount, run, outcome, checkpoint: '' })
     for (const wake of this.#waiters) wake()
     this.#opts.ledger.noteEnd(run, outcome)
   }
@@ -173,7 +173,7 @@
     for (const wake of this.#waiters) wake()
     const lost = [...this.#held.values()]
     this.#held.clear()
-    for (const { run } of lost) this.#opts.ledger.noteWentDown(run)
+    for (const { run } of lost) this.#opts.ledger.noteLostInCrash(run)
   }
 
   holds(run: RunRef): boolean {
@@ -184,26 +184,26 @@
     const { clock, ledger, onCrashingRun } = this.#opts
     clock.setTimer(crashAfterMs, () => {
       if (!this.isUp || !this.holds(run)) return
-      ledger.noteCrashUnder(run)
+      ledger.noteCrashCaused(run)
       onCrashingRun?.()
     })
   }
 
-  #close(run: RunRef): void {
-    const closed = this.#closed.get(taskKey(run)) ?? 0
-    this.#closed.set(taskKey(run), Math.max(closed, run.attempt))
+  #closeAttempt(run: RunRef): void {
+    const closed = this.#closedAttempts.get(taskKey(run)) ?? 0
+    this.#closedAttempts.set(taskKey(run), Math.max(closed, run.attempt))
   }
 
-  #used(): number {
+  #countUsedAccelerators(): number {
     return [...this.#held.values()].reduce((sum, { needs }) => sum + needs.accelerators, 0)
   }
 
-  #renew(leaseEndMs: number): void {
+  #renewLease(leaseEndMs: number): void {
     this.#leaseEndMs = Math.max(this.#leaseEndMs, leaseEndMs)
     this.#leaseTimer?.cancel()
     const leftMs = (this.#leaseEndMs - this.clockMs) / this.#opts.clockRate
     this.#leaseTimer = this.#opts.clock.setTimer(leftMs + 1, () => {
-      this.#lapsedEnds = this.#ends
+      this.#lastLapsedEnd = this.#endCount
       for (const { run } of [...this.#held.values()]) this.end(run, 'lapsed')
     })
   }
--- a/batch/fakes/src/fleetLedger.ts
+++ b/batch/fakes/src/fleetLedger.ts
@@ -30,12 +30,12 @@
   readonly doneTasks = new Set<string>()
   readonly #opts: FleetLedgerOptions
   readonly #jobs = new Map<string, JobRequest>()
-  readonly #holders: FakeUpstream[] = []
+  readonly #upstreams: FakeUpstream[] = []
   readonly #running = new Map<string, RunRef>()
   /** The run of each task that ended `done` last, acknowledged or not. */
-  readonly endedDone = new Map<string, RunRef>()
+  readonly lastDoneRuns = new Map<string, RunRef>()
   /** Upstreams that a task has brought down. */
-  readonly crashesUnder = new Map<string, number>()
+  readonly crashesCaused = new Map<string, number>()
   readonly #reasons: GiveUpReasons
   readonly #startsAfterCrashes = new Map<string, number>()
 
@@ -49,8 +49,8 @@
     this.#jobs.set(request.jobId, request)
   }
 
-  addHolder(upstream: FakeUpstream): void {
-    this.#holders.push(upstream)
+  addUpstream(upstream: FakeUpstream): void {
+    this.#upstreams.push(upstream)
   }
 
   needsOf({ jobId, step }: RunRef): Resources {
@@ -68,59 +68,60 @@
     )
   }
 
-  noteStart(run: RunRef, holder: FakeUpstream): void {
+  noteStart(run: RunRef, upstream: FakeUpstream): void {
     const key = taskKey(run)
     const name = `${key}#${run.attempt}`
     this.starts.push(run)
     if (this.#running.has(key)) this.violations.push(`${name} started while another run is going`)
     if (this.doneTasks.has(key)) this.violations.push(`${name} started after it was done`)
     if (!this.#dependenciesAreDone(run)) this.violations.push(`${name} started out of order`)
-    this.#countCrashBudget(key)
+    this.#checkCrashBudget(key)
     this.#running.set(key, run)
     const step = this.#stepOf(run)
     if (step?.isGang === true) this.#joinGang(run)
-    else this.#work(run, holder)
+    else this.#scheduleEnd(run, upstream)
   }
 
   noteEnd(run: RunRef, outcome: FinishedOutcome): void {
     const key = taskKey(run)
     this.#running.delete(key)
     if (outcome === 'failed') this.#reasons.noteFailure(run, this.#stepOf(run)?.isGang === true)
-    if (outcome === 'done') this.endedDone.set(key, run)
+    if (outcome === 'done') this.lastDoneRuns.set(key, run)
     if (this.#stepOf(run)?.isGang !== true || outcome === 'done') return
     for (const member of this.#membersOf(run)) this.#endEverywhere(member, 'broken')
   }
 
-  crashes(run: RunRef): boolean {
+  shouldCrash(run: RunRef): boolean {
     return this.#opts.crashes?.(run) ?? false
   }
 
-  noteCrashUnder(run: RunRef): void {
+  noteCrashCaused(run: RunRef): void {
     const key = taskKey(run)
-    this.crashesUnder.set(key, (this.crashesUnder.get(key) ?? 0) + 1)
+    this.crashesCaused.set(key, (this.crashesCaused.get(key) ?? 0) + 1)
   }
 
-  noteOverfilled(run: RunRef): void {
+  noteOvercommitted(run: RunRef): void {
     this.violations.push(`${taskKey(run)}#${run.attempt} brought its upstream over its capacity`)
   }
 
   /** Its upstream crashed. */
-  noteWentDown(run: RunRef): void {
+  noteLostInCrash(run: RunRef): void {
     this.#reasons.noteCrash(run)
     this.noteEnd(run, 'lapsed')
   }
 
   /** Whether the job has failed, or gone down with upstreams, often enough to be given up. */
-  mayBeGivenUp(jobId: string): boolean {
-    return this.#reasons.mayBeGivenUp(jobId)
+  canBeGivenUp(jobId: string): boolean {
+    return this.#reasons.canBeGivenUp(jobId)
   }
 
   noteAcknowledged(run: RunRef): void {
-    if (this.endedDone.get(taskKey(run))?.attempt === run.attempt) this.doneTasks.add(taskKey(run))
+    if (this.lastDoneRuns.get(taskKey(run))?.attempt === run.attempt)
+      this.doneTasks.add(taskKey(run))
   }
 
-  #countCrashBudget(key: string): void {
-    if ((this.crashesUnder.get(key) ?? 0) < crashesMax) return
+  #checkCrashBudget(key: string): void {
+    if ((this.crashesCaused.get(key) ?? 0) < crashesMax) return
     const starts = (this.#startsAfterCrashes.get(key) ?? 0) + 1
     this.#startsAfterCrashes.set(key, starts)
     if (starts === crashesMax) {
@@ -128,10 +129,10 @@
     }
   }
 
-  #work(run: RunRef, holder: FakeUpstream): void {
+  #scheduleEnd(run: RunRef, upstream: FakeUpstream): void {
     const outcome = this.#opts.decideOutcome(run)
     this.#opts.clock.setTimer(this.#stepOf(run)?.expectedRunTimeMs ?? 0, () => {
-      holder.end(run, outcome)
+      upstream.end(run, outcome)
     })
   }
 
@@ -159,8 +160,8 @@
   }
 
   #endEverywhere(run: RunRef, outcome: FinishedOutcome): void {
-    for (const holder of this.#holders) {
-      if (holder.holds(run)) holder.end(run, outcome)
+    for (const upstream of this.#upstreams) {
+      if (upstream.holds(run)) upstream.end(run, outcome)
     }
   }
 
@@ -173,7 +174,7 @@
     return (steps[step]?.dependsOn ?? []).every((number) =>
       Array.from({ length: steps[number]?.taskCount ?? 0 }, (_, index) =>
         taskKey({ jobId, step: number, index }),
-      ).every((key) => this.endedDone.has(key)),
+      ).every((key) => this.lastDoneRuns.has(key)),
     )
   }
 }
--- a/batch/fakes/src/giveUpReasons.ts
+++ b/batch/fakes/src/giveUpReasons.ts
@@ -16,26 +16,26 @@
   }
 
   noteFailure(run: RunRef, isGang: boolean): void {
-    this.#count(this.#failures, run, { isGang, least: this.#attemptsMax })
+    this.#count(this.#failures, run, { isGang, limit: this.#attemptsMax })
   }
 
   /** Members of a gang count each by itself. */
   noteCrash(run: RunRef): void {
-    this.#count(this.#crashes, run, { isGang: false, least: crashesMin })
+    this.#count(this.#crashes, run, { isGang: false, limit: crashesMin })
   }
 
-  mayBeGivenUp(jobId: string): boolean {
+  canBeGivenUp(jobId: string): boolean {
     return this.#jobs.has(jobId)
   }
 
   #count(
     counts: Map<string, number>,
     run: RunRef,
-    { isGang, least }: { isGang: boolean; least: number },
+    { isGang, limit: limit }: { isGang: boolean; limit: number },
   ): void {
     const key = isGang ? `${run.jobId}/${run.step}` : taskKey(run)
     const count = (counts.get(key) ?? 0) + 1
     counts.set(key, count)
-    if (count >= least) this.#jobs.add(run.jobId)
+    if (count >= limit) this.#jobs.add(run.jobId)
   }
 }
--- a/batch/service/test/leaderModel.test.ts
+++ b/batch/service/test/leaderModel.test.ts
@@ -120,5 +120,5 @@
         Array.from({ length: isGang ? 0 : taskCount }, (_, index) => `${jobId}/${step}/${index}`),
       ),
     )
-    .filter((key) => !ledger.endedDone.has(key))
+    .filter((key) => !ledger.lastDoneRuns.has(key))
 }
