--- a/batch/fakes/src/giveUpReasons.ts
+++ b/batch/fakes/src/giveUpReasons.ts
@@ -31,7 +31,7 @@
   #count(
     counts: Map<string, number>,
     run: RunRef,
-    { isGang, limit: limit }: { isGang: boolean; limit: number },
+    { isGang, limit }: { isGang: boolean; limit: number },
   ): void {
     const key = isGang ? `${run.jobId}/${run.step}` : taskKey(run)
     const count = (counts.get(key) ?? 0) + 1
--- a/batch/scheduler/__utils__/fleet.ts
+++ b/batch/scheduler/__utils__/fleet.ts
@@ -79,7 +79,7 @@
       ...description,
       free,
       freeAfterStops: addResources(free, stopping),
-      isSuitableForTrial: isSuitableForTrial,
+      isSuitableForTrial,
     }
   }
 
--- a/batch/scheduler/src/chooseUpstreams.ts
+++ b/batch/scheduler/src/chooseUpstreams.ts
@@ -18,8 +18,7 @@
   const scopes = listScopes(unit, allocations).map((upstreams) =>
     countScopeFit(unit, allocations, upstreams),
   )
-  if (!unit.step.isGang)
-    return scopes.flatMap(({ upstreams: upstreams }) => fill(upstreams, wanted))
+  if (!unit.step.isGang) return scopes.flatMap(({ upstreams }) => fill(upstreams, wanted))
   const fitting = scopes.filter(({ total }) => total >= wanted)
   const [tightest] = fitting.sort((left, right) => left.total - right.total)
   return tightest === undefined ? [] : fill(tightest.upstreams, wanted)
--- a/batch/scheduler/src/chooseVictims.ts
+++ b/batch/scheduler/src/chooseVictims.ts
@@ -29,11 +29,11 @@
 /** The cheapest choice found over the racks; undefined where stopping everything would not do. */
 export function chooseVictims({
   unit,
-  allocations: allocations,
+  allocations,
   victims,
   costMaxCoreSeconds,
 }: ChooseVictimsOptions): VictimChoice | undefined {
-  const scopes = trackScopes(unit, allocations, ({ freeAfterStops: soon }) => soon)
+  const scopes = trackScopes(unit, allocations, ({ freeAfterStops }) => freeAfterStops)
   const choices = scopes.flatMap((scope) => chooseForScope(scope, victims) ?? [])
   const [best] = choices.sort((left, right) => sumCost(left.victims) - sumCost(right.victims))
   return best !== undefined && sumCost(best.victims) <= costMaxCoreSeconds ? best : undefined
--- a/batch/scheduler/src/computeStopCostLimit.ts
+++ b/batch/scheduler/src/computeStopCostLimit.ts
@@ -17,7 +17,7 @@
   job,
   step,
   waiting,
-  timeliness: timeliness,
+  timeliness,
 }: RankedUnit): number {
   if (isGuaranteed) return Infinity
   if (job.queue.priority !== urgentPriority || timeliness !== 'on-time') return 0
--- a/batch/scheduler/src/fitTracker.ts
+++ b/batch/scheduler/src/fitTracker.ts
@@ -32,7 +32,7 @@
       const free = freeOf(upstream)
       const count = countTasksIn(unit, upstream.upstreamId, free)
       this.#total += count
-      return { upstreamId: upstream.upstreamId, free: free, count }
+      return { upstreamId: upstream.upstreamId, free, count }
     })
     this.#upstreams = new Map(tracked.map((upstream) => [upstream.upstreamId, upstream]))
   }
--- a/batch/scheduler/src/listScopes.ts
+++ b/batch/scheduler/src/listScopes.ts
@@ -26,7 +26,7 @@
 /** Elsewhere the tasks would take several times as long: that is left for when the rack is gone. */
 function preferDataRack({ step }: StartUnit, eligible: UpstreamAllocation[]): UpstreamAllocation[] {
   if (step.dataRack === undefined) return eligible
-  const inDataRack = eligible.filter(({ view: view }) => view.rack === step.dataRack)
+  const inDataRack = eligible.filter(({ view }) => view.rack === step.dataRack)
   return inDataRack.length > 0 ? inDataRack : eligible
 }
 
--- a/batch/scheduler/src/promoteOverdueGang.ts
+++ b/batch/scheduler/src/promoteOverdueGang.ts
@@ -41,7 +41,7 @@
   const others = units.filter((unit) => unit !== overdue)
   const guaranteed = others.filter(({ isGuaranteed }) => isGuaranteed)
   const rest = others.filter(({ isGuaranteed }) => !isGuaranteed)
-  return [...guaranteed, { ...overdue, isOverdue: true, canSpanRacks: canSpanRacks }, ...rest]
+  return [...guaranteed, { ...overdue, isOverdue: true, canSpanRacks }, ...rest]
 }
 
 function findOverdueGang(
@@ -81,9 +81,9 @@
   return free >= selectAmount(pool.capacity) * ampleFreeShare && free >= needed * ampleNeedsFactor
 }
 
-function sumPoolCapacities({ upstreams: upstreams }: RoundAllocations): Map<string, PoolCapacity> {
+function sumPoolCapacities({ upstreams }: RoundAllocations): Map<string, PoolCapacity> {
   const pools = new Map<string, PoolCapacity>()
-  for (const { view: view } of upstreams) {
+  for (const { view } of upstreams) {
     const sums = pools.get(view.pool) ?? { free: noResources, capacity: noResources }
     sums.free = addResources(sums.free, view.free)
     sums.capacity = addResources(sums.capacity, view.capacity)
--- a/batch/scheduler/src/reserveForGang.ts
+++ b/batch/scheduler/src/reserveForGang.ts
@@ -17,12 +17,8 @@
 }
 
 /** Books the room; nothing where the gang would not fit even without all that runs. */
-export function reserveForGang({
-  unit,
-  allocations: allocations,
-  runs,
-}: ReserveForGangOptions): void {
-  const scopes = trackScopes(unit, allocations, ({ freeAfterStops: soon }) => soon)
+export function reserveForGang({ unit, allocations, runs }: ReserveForGangOptions): void {
+  const scopes = trackScopes(unit, allocations, ({ freeAfterStops }) => freeAfterStops)
   let scope = scopes.find(({ fits }) => fits)
   let fromMs = allocations.nowMs
   for (const { placement, needs, isStopping, expectedEndMs } of runs) {
@@ -33,7 +29,7 @@
     if (changed?.fits === true) scope = changed
     fromMs = expectedEndMs
   }
-  if (scope !== undefined) recordReservations({ unit, allocations: allocations, scope, fromMs })
+  if (scope !== undefined) recordReservations({ unit, allocations, scope, fromMs })
 }
 
 interface RecordReservationsOptions {
@@ -43,12 +39,7 @@
   fromMs: number
 }
 
-function recordReservations({
-  unit,
-  allocations: allocations,
-  scope,
-  fromMs,
-}: RecordReservationsOptions): void {
+function recordReservations({ unit, allocations, scope, fromMs }: RecordReservationsOptions): void {
   const upstreamIds = scope.chooseUpstreams()
   for (const upstreamId of new Set(upstreamIds)) {
     const free = scope.freeOn(upstreamId)
--- a/batch/scheduler/src/roundAllocations.ts
+++ b/batch/scheduler/src/roundAllocations.ts
@@ -53,7 +53,7 @@
   /** Tasks that end at `endMs` and fit both now and beside what is to start before that. */
   countFitting(needs: Resources, endMs: number): number {
     let count = countFitting(this.free, needs)
-    for (const { fromMs, free: free } of this.reservations) {
+    for (const { fromMs, free } of this.reservations) {
       if (fromMs < endMs) count = Math.min(count, countFitting(free, needs))
     }
     return count
@@ -124,12 +124,12 @@
   listEligible(unit: StartUnit): UpstreamAllocation[] {
     const { job, step, avoided, isOnTrial } = unit
     const eligible = this.upstreams.filter(
-      ({ view: view }) =>
+      ({ view }) =>
         view.pool === job.queue.pool &&
         (step.requiredLabel === undefined || view.labels.includes(step.requiredLabel)),
     )
     const untried = preferIfSufficient(unit, eligible, ({ upstreamId }) => !avoided.has(upstreamId))
-    return isOnTrial ? untried.filter(({ isSuitableForTrial: isQuiet }) => isQuiet) : untried
+    return isOnTrial ? untried.filter(({ isSuitableForTrial }) => isSuitableForTrial) : untried
   }
 }
 
@@ -147,7 +147,7 @@
 }
 
 /** How many tasks of the step the upstream takes when nothing else runs there. */
-export function countWhenEmpty(step: StepSpec, { view: view }: UpstreamAllocation): number {
+export function countWhenEmpty(step: StepSpec, { view }: UpstreamAllocation): number {
   return Math.min(countFitting(view.capacity, step.needs), step.tasksPerUpstreamMax ?? Infinity)
 }
 
