--- a/batch/scheduler/__utils__/fleet.ts
+++ b/batch/scheduler/__utils__/fleet.ts
@@ -1,18 +1,18 @@
-/** A small fleet whose rounds are decided over the real state. */
+/** A small fleet for tests: plans rounds against the real `BatchState`. */
 import type { JobRequest } from '@nettlespur/batch.model'
 import { createConfig, createUpstream } from '@nettlespur/batch.samples'
 import { BatchState, type Placement } from '@nettlespur/batch.state'
 import { addResources, noResources, planRound, type ActiveRun } from '../src/index.js'
 
-/** When all that runs is expected to end, from now. */
+/** Expected time until each run ends. */
 const remainingRunMs = 1000
 
 export class Fleet {
   readonly state = new BatchState()
   nowMs = 0
-  /** What a stop of one of a job's runs throws away, in core-seconds; 1 where a job has none here. */
+  /** Work lost if a run of the job is stopped, in core-seconds by job id; 1 for other jobs. */
   readonly stopCosts = new Map<string, number>()
-  /** Runs, by their names, that were seen at work for long enough to be trusted. */
+  /** Names of proven runs; see `SchedulerView.isProven`. */
   readonly proven = new Set<string>()
   readonly #acceptedAtMs = new Map<string, number>()
   readonly #stopping = new Set<string>()
@@ -31,7 +31,7 @@
     this.#acceptedAtMs.set(request.jobId, this.nowMs)
   }
 
-  /** Decides once and puts the placements into the state. */
+  /** Plans one round and applies its placements to the state. */
   decide() {
     const decision = planRound({
       nowMs: this.nowMs,
@@ -50,12 +50,12 @@
     return decision
   }
 
-  /** All that runs is seen at work. */
+  /** Marks all current runs as proven. */
   prove(): void {
     for (const { placement } of this.#runs()) this.proven.add(nameRun(placement))
   }
 
-  /** The upstream of the run crashes under it alone. */
+  /** Ends the run as the one blamed for a crash of its upstream. */
   crash(run: Placement): void {
     this.state.apply({ type: 'end-runs', ends: [{ ...run, outcome: 'crashed', blame: 'blamed' }] })
   }
--- a/batch/scheduler/__utils__/index.ts
+++ b/batch/scheduler/__utils__/index.ts
@@ -1,3 +1,3 @@
-/** Small fleets and steps for tests of rounds. */
+/** Fixtures for tests of scheduling rounds. */
 export { createGang } from './createGang.js'
 export { Fleet } from './fleet.js'
--- a/batch/scheduler/src/chooseUpstreams.ts
+++ b/batch/scheduler/src/chooseUpstreams.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses upstreams for the tasks of a unit: the tightest fit, so that whole upstreams and racks stay free
- * for large gangs, and one rack for what is slow across racks.
+ * Chooses upstreams for the tasks of a unit: the tightest fit, which keeps whole upstreams and racks free for large
+ * gangs, and a single rack for gangs that are slow across racks.
  */
 import { fillEmptiest, fillTightest, type UpstreamFit } from './fillTightest.js'
 import { listScopes } from './listScopes.js'
@@ -8,8 +8,8 @@
 import type { StartUnit } from './startUnit.js'
 
 /**
- * An upstream for each task, in the order of the waiting tasks: all of them for a gang, else as many as
- * fit. Empty where nothing can start.
+ * Returns an upstream for each task, in the order of the waiting tasks: for all tasks of a gang, otherwise for as
+ * many as fit. Returns an empty list if nothing can start.
  */
 export function chooseUpstreams(unit: StartUnit, allocations: RoundAllocations): string[] {
   const wanted = unit.waiting.length
--- a/batch/scheduler/src/chooseVictims.ts
+++ b/batch/scheduler/src/chooseVictims.ts
@@ -1,8 +1,8 @@
 /**
- * Frees room for a unit by stopping runs of others. Room is freed upstream by upstream, the cheapest for each task
- * of the unit first: cheap runs that are spread over many upstreams free accelerators, but no place for a task
- * that needs several of them side by side. Members of a gang are stopped together, as one that is stopped ends
- * the rest; the room of all of them counts.
+ * Chooses runs of other jobs to preempt for a unit. Capacity is freed upstream by upstream, the one with the lowest
+ * cost per task of the unit first: stopping cheap runs spread over many upstreams frees accelerators, but no place
+ * for a task that needs several on one upstream. Members of a gang are stopped together, as stopping one ends the
+ * others; the capacity of all of them counts.
  */
 import { trackScopes, type FitScope } from './fitTracker.js'
 import { sumCost, type VictimGroup } from './listVictimGroups.js'
@@ -20,13 +20,13 @@
 export interface ChooseVictimsOptions {
   unit: StartUnit
   allocations: RoundAllocations
-  /** What may be stopped. */
+  /** Runs that may be preempted. */
   victims: VictimIndex
-  /** What may be thrown away for the unit. */
+  /** Limit of the work lost for the unit. */
   costMaxCoreSeconds: number
 }
 
-/** The cheapest choice found over the racks; undefined where stopping everything would not do. */
+/** Returns the cheapest choice over all scopes, or undefined if none frees enough capacity within the cost limit. */
 export function chooseVictims({
   unit,
   allocations,
@@ -39,7 +39,7 @@
   return best !== undefined && sumCost(best.victims) <= costMaxCoreSeconds ? best : undefined
 }
 
-/** Stops what is cheapest until the unit fits, then spares what is not needed after all. */
+/** Adds the cheapest victims until the unit fits, then drops those that turn out not to be needed. */
 function chooseForScope(scope: FitScope, victimIndex: VictimIndex): VictimChoice | undefined {
   const search = new PreemptionSearch(scope, victimIndex)
   const chosen: VictimGroup[] = []
--- a/batch/scheduler/src/computeStopCostLimit.ts
+++ b/batch/scheduler/src/computeStopCostLimit.ts
@@ -1,17 +1,17 @@
 /**
- * How much work of others may be thrown away so that a unit starts at once. Guaranteed work is promised its room
- * whatever that costs. Urgent work beyond its guarantee is short and soon too late, while what it stops has time
- * left: it may throw away as much as its own work, as long as it can still end in time. More would be thrown away
- * for nothing more that is in time.
+ * Limits how much work of other jobs may be lost so that a unit starts at once. Guaranteed work gets its capacity at
+ * any cost. Urgent work beyond its guarantee is short and soon late, while the runs it preempts still have slack: it
+ * may discard as much work as it does itself, while it can still end on time. A higher limit would discard more work
+ * without more jobs ending on time.
  */
 import type { RankedUnit } from './orderUnits.js'
 import { measureCores } from './resources.js'
 
-/** Queues of this priority have somebody waiting for the answer. */
+/** Priority of queues whose callers wait for the answer. */
 export const urgentPriority = 0
 const millisecondsPerSecond = 1000
 
-/** In core-seconds; 0 where nothing may be stopped. */
+/** Returns the limit in core-seconds; 0 if the unit may preempt nothing. */
 export function computeStopCostLimit({
   isGuaranteed,
   job,
--- a/batch/scheduler/src/dropUnneededVictims.ts
+++ b/batch/scheduler/src/dropUnneededVictims.ts
@@ -1,8 +1,11 @@
-/** Takes back stops that turn out not to be needed. */
+/** Removes victims that turn out not to be needed. */
 import type { FitScope } from './fitTracker.js'
 import type { VictimGroup } from './listVictimGroups.js'
 
-/** Gives the groups that are needed for `isEnough`; the dearest are spared first, and their room is taken again. */
+/**
+ * Returns the groups without which `isEnough` is false. The costliest are dropped first; the capacity of dropped
+ * groups is taken back from the scope.
+ */
 export function dropUnneededVictims(
   scope: FitScope,
   victims: readonly VictimGroup[],
--- a/batch/scheduler/src/fillTightest.ts
+++ b/batch/scheduler/src/fillTightest.ts
@@ -1,19 +1,19 @@
-/** Spreads tasks over rooms: first where the fewest accelerators are left, then where the fewest processors are. */
+/** Assigns tasks to upstreams in order of their free accelerators, then of their free processors. */
 import type { Resources } from '@nettlespur/batch.model'
 
 export interface UpstreamFit {
   readonly upstreamId: string
   readonly free: Resources
-  /** Tasks that fit. */
+  /** Number of tasks that fit. */
   readonly count: number
 }
 
-/** As many upstreams as there are tasks, or as many as fit. */
+/** Returns an upstream for each task that fits, the least free ones first. */
 export function fillTightest(upstreams: readonly UpstreamFit[], wanted: number): string[] {
   return fillInOrder(sortTightest(upstreams), wanted)
 }
 
-/** The same from the other end: where the least runs, so that a crash harms the least. */
+/** Like `fillTightest`, but the most free upstreams first, where a crash affects the least work. */
 export function fillEmptiest(upstreams: readonly UpstreamFit[], wanted: number): string[] {
   return fillInOrder(sortTightest(upstreams).reverse(), wanted)
 }
--- a/batch/scheduler/src/fitTracker.ts
+++ b/batch/scheduler/src/fitTracker.ts
@@ -1,6 +1,6 @@
 /**
- * Follows whether a unit fits as runs end one after the other. Only the room that changes is counted again, so
- * that a whole sequence of ends costs what its runs cost, however many upstreams there are.
+ * Tracks whether a unit fits as runs end one after the other. Only upstreams that change are counted again, so the
+ * cost of a sequence of ends grows with its runs and not with the number of upstreams.
  */
 import type { Resources } from '@nettlespur/batch.model'
 import type { Placement } from '@nettlespur/batch.state'
@@ -16,7 +16,7 @@
   count: number
 }
 
-/** Upstreams that can take the unit together: those of one rack, or all that it may use. */
+/** Upstreams over which the unit may be spread: those of one rack, or all that it may use. */
 export class FitScope {
   readonly #unit: StartUnit
   readonly #upstreams: ReadonlyMap<string, TrackedUpstream>
@@ -41,12 +41,12 @@
     return this.unplacedCount === 0
   }
 
-  /** Tasks of the unit that find no place. */
+  /** Number of the unit's tasks that do not fit. */
   get unplacedCount(): number {
     return Math.max(0, this.#unit.waiting.length - this.#total)
   }
 
-  /** Tasks of the unit that fit on one upstream. */
+  /** Returns how many of the unit's tasks fit on the upstream. */
   countOn(upstreamId: string): number {
     return this.#upstreams.get(upstreamId)?.count ?? 0
   }
@@ -55,7 +55,7 @@
     return this.#upstreams.has(upstreamId)
   }
 
-  /** Gives the room of runs back, or with `times` -1 takes it again. */
+  /** Releases the capacity of the runs, or takes it back if `sign` is -1. */
   adjustFree(runs: readonly Placement[], needs: Resources, sign: 1 | -1): void {
     for (const { upstreamId } of runs) {
       const upstream = this.#upstreams.get(upstreamId)
@@ -67,18 +67,18 @@
     }
   }
 
-  /** What is left of an upstream's room; undefined outside the scope. */
+  /** Returns the free capacity of the upstream, or undefined if it is outside the scope. */
   freeOn(upstreamId: string): Resources | undefined {
     return this.#upstreams.get(upstreamId)?.free
   }
 
-  /** An upstream for each task of the unit. To be called where it fits. */
+  /** Returns an upstream for each task of the unit. Call only if `fits` is true. */
   chooseUpstreams(): string[] {
     return fillTightest([...this.#upstreams.values()], this.#unit.waiting.length)
   }
 }
 
-/** The scopes of a unit, with the room that `roomOf` says. */
+/** Returns the scopes of a unit, with free capacities as given by `freeOf`. */
 export function trackScopes(
   unit: StartUnit,
   allocations: RoundAllocations,
--- a/batch/scheduler/src/index.ts
+++ b/batch/scheduler/src/index.ts
@@ -1,4 +1,4 @@
-/** Decides which tasks start where, and which are preempted. */
+/** Decides which tasks start on which upstreams, and which runs are preempted. */
 export { planRound } from './planRound.js'
 export { addResources, measureCores, noResources } from './resources.js'
 export type {
--- a/batch/scheduler/src/jobTiming.ts
+++ b/batch/scheduler/src/jobTiming.ts
@@ -1,13 +1,13 @@
-/** By when a job should have ended, and how long its work is expected to take. */
+/** Objectives of jobs and the latest starts that meet them. */
 import type { StepSpec } from '@nettlespur/batch.model'
 import type { JobRecord } from '@nettlespur/batch.state'
 
-/** A job that ends later than this many times its objective is worth nothing any more. */
+/** A job that ends later than this many times its objective has no value. */
 const lateLimitFactor = 3
 
 export type Timeliness = 'on-time' | 'late' | 'none'
 
-/** The expected time of the longest chain of steps, in milliseconds. */
+/** The expected time of the longest chain of dependent steps. */
 export function measureCriticalPathMs(steps: readonly StepSpec[]): number {
   const endsMs: number[] = []
   for (const { dependsOn, expectedRunTimeMs } of steps) {
@@ -17,7 +17,7 @@
   return Math.max(0, ...endsMs)
 }
 
-/** The expected time of what has still to run. */
+/** The expected run time of the longest step that is not done. */
 export function measureRemainingMs(job: JobRecord): number {
   const open = job.request.steps.filter((_, at) =>
     job.steps[at]?.tasks.some(({ phase }) => phase !== 'done'),
@@ -30,12 +30,12 @@
 }
 
 export interface JobTiming {
-  /** Since the job was accepted, as far as this leader knows. */
+  /** Time since the job was accepted, as far as this leader knows. */
   readonly waitedMs: number
   readonly timeliness: Timeliness
-  /** The latest start with which the job still ends in time. */
+  /** The latest start with which the job ends on time. */
   readonly latestStartMs: number
-  /** The latest start with which it is still worth something. */
+  /** The latest start with which the result still has value. */
   readonly lastUsefulStartMs: number
 }
 
--- a/batch/scheduler/src/limitTrials.ts
+++ b/batch/scheduler/src/limitTrials.ts
@@ -1,7 +1,7 @@
 /**
- * How many tasks of a step may start while some of them are suspected of crashing their upstreams. Tasks of a step run the
- * same thing: where one does harm the others may too, so they start one, two, four and so on at a time, as those before
- * are seen at work. Otherwise a step of many such tasks would bring down as many upstreams at once.
+ * Limits how many tasks of a step start while some are suspected of crashing their upstreams. All tasks of a step run
+ * the same program, so if one is harmful the others may be too: they start one, two, four and so on at a time, as
+ * earlier ones are proven. Otherwise a step of many such tasks would crash as many upstreams at once.
  */
 import {
   isSuspectTask,
@@ -14,15 +14,15 @@
   job: JobRecord
   stepNumber: number
   record: StepRecord
-  /** Indexes of the tasks that wait. */
+  /** Indexes of the waiting tasks. */
   waiting: readonly number[]
   isProven: (run: Placement) => boolean
 }
 
 export interface TrialLimit {
-  /** Indexes of suspects that may start now, each on trial. */
+  /** Indexes of suspected tasks that may start now, each on trial. */
   readonly suspects: readonly number[]
-  /** Indexes of the others that may start now. */
+  /** Indexes of other tasks that may start now. */
   readonly others: readonly number[]
 }
 
@@ -44,11 +44,11 @@
 }
 
 interface StartedCounts {
-  /** Tasks that are done or were seen at work for long enough. */
+  /** Number of tasks that are done or proven. */
   readonly provenCount: number
-  /** Tasks that have just started. */
+  /** Number of started tasks that are not proven yet. */
   readonly startingCount: number
-  /** A suspect is among those that have just started. */
+  /** At least one of the tasks counted in `startingCount` is suspected. */
   readonly hasOpenTrial: boolean
 }
 
--- a/batch/scheduler/src/listGuaranteedJobs.ts
+++ b/batch/scheduler/src/listGuaranteedJobs.ts
@@ -1,10 +1,10 @@
-/** Which jobs may have what their workspace is guaranteed, whoever uses it now. */
+/** Selects the jobs that may claim the guaranteed accelerators of their workspace, even if other work uses them now. */
 import type { JobRecord } from '@nettlespur/batch.state'
 
-/** Only jobs of this priority draw on the guarantee. */
+/** Only jobs of this priority use the guarantee. */
 const guaranteedPriority = 0
 
-/** Ids of the jobs that together need no more than the guarantee of their workspace, the oldest first. */
+/** Returns the ids of jobs that together fit into the guarantees of their workspaces, chosen oldest first. */
 export function listGuaranteedJobs(
   jobs: readonly JobRecord[],
   guarantees: ReadonlyMap<string, number>,
@@ -21,7 +21,7 @@
   return guaranteed
 }
 
-/** The most that any of its steps holds at a time. */
+/** Returns the accelerators of the job's largest step. */
 function countPeakAccelerators({ request: { steps } }: JobRecord): number {
   return Math.max(...steps.map(({ taskCount, needs }) => taskCount * needs.accelerators))
 }
--- a/batch/scheduler/src/listScopes.ts
+++ b/batch/scheduler/src/listScopes.ts
@@ -1,4 +1,4 @@
-/** The groups of upstreams of which one has to take a unit alone. */
+/** Placement scopes: groups of upstreams over which a unit may be spread. A gang has to fit within one of them. */
 import {
   countWhenEmpty,
   type UpstreamAllocation,
@@ -7,8 +7,8 @@
 import type { StartUnit } from './startUnit.js'
 
 /**
- * For a gang that is slow across racks each rack that could take it when empty; all racks together only where
- * none could. For others one group of all upstreams that they may use.
+ * Returns, for a gang that is slow across racks, one scope for each rack that could take it when empty, or all racks
+ * as one scope if none could. Other units get one scope of all upstreams that they may use.
  */
 export function listScopes(unit: StartUnit, allocations: RoundAllocations): UpstreamAllocation[][] {
   const eligible = preferDataRack(unit, allocations.listEligible(unit))
@@ -23,7 +23,7 @@
   return fitting.length > 0 ? fitting : [eligible]
 }
 
-/** Elsewhere the tasks would take several times as long: that is left for when the rack is gone. */
+/** Outside their data rack tasks take several times as long: used only if that rack has no eligible upstream. */
 function preferDataRack({ step }: StartUnit, eligible: UpstreamAllocation[]): UpstreamAllocation[] {
   if (step.dataRack === undefined) return eligible
   const inDataRack = eligible.filter(({ view }) => view.rack === step.dataRack)
--- a/batch/scheduler/src/listVictimGroups.ts
+++ b/batch/scheduler/src/listVictimGroups.ts
@@ -1,21 +1,24 @@
-/** Which runs may be stopped for guaranteed work: all but those that are guaranteed themselves. */
+/** Lists the runs that may be preempted: all but those of guaranteed jobs and those being stopped already. */
 import { runKey, type Resources } from '@nettlespur/batch.model'
 import type { JobRecord, Placement } from '@nettlespur/batch.state'
 import { urgentPriority } from './computeStopCostLimit.js'
 import type { ActiveRun, SchedulerView } from './schedulerView.js'
 
-/** Runs that can only be stopped together. */
+/** Runs that are preempted together: the running members of a gang attempt, or a single run. */
 export interface VictimGroup {
   readonly runs: Placement[]
   readonly needs: Resources
-  /** What a stop throws away, urgent work counted more. */
+  /** Work lost with the group; urgent work is weighted by `urgentCostFactor`. */
   costCoreSeconds: number
 }
 
-/** Urgent work that is stopped is late as well: it is stopped only where that saves much other work. */
+/**
+ * Weight of lost urgent work: a preempted urgent run ends late too, so it is preempted only if that saves much other
+ * work.
+ */
 const urgentCostFactor = 5
 
-/** The cheapest for the accelerators that come free first. */
+/** Returns the groups by cost per accelerator, the cheapest first. */
 export function listVictimGroups(
   { runs, jobs }: SchedulerView,
   guaranteed: ReadonlySet<string>,
@@ -44,17 +47,15 @@
   groups.set(key, group)
 }
 
-/** Names a group: the gang's attempt, or the single run. */
 function groupKey(run: Placement, isGang: boolean): string {
   return isGang ? `${run.jobId}/${run.step}#${run.attempt}` : runKey(run)
 }
 
-/** Of all that is stopped, in core-seconds. */
+/** Returns the work lost with all groups, in core-seconds. */
 export function sumCost(groups: readonly VictimGroup[]): number {
   return groups.reduce((sum, { costCoreSeconds }) => sum + costCoreSeconds, 0)
 }
 
-/** Cost for each accelerator that comes free. */
 function costPerAccelerator({ runs, needs, costCoreSeconds }: VictimGroup): number {
   return costCoreSeconds / Math.max(1, runs.length * needs.accelerators)
 }
--- a/batch/scheduler/src/orderUnits.ts
+++ b/batch/scheduler/src/orderUnits.ts
@@ -1,4 +1,4 @@
-/** Who is served first: guaranteed work, then by hope of ending in time, priority and the latest start. */
+/** Ranks units: guaranteed work first, then by timeliness, priority and latest start. */
 import { computeTiming, type Timeliness, type JobTiming } from './jobTiming.js'
 import type { SchedulerView } from './schedulerView.js'
 import { listUnits, type StartUnit } from './startUnit.js'
@@ -7,9 +7,9 @@
 
 export interface RankedUnit extends StartUnit, JobTiming {
   readonly isGuaranteed: boolean
-  /** It goes before what ranks higher; see `putOverdueFirst`. */
+  /** Promoted before units of higher rank; see `promoteOverdueGang`. */
   readonly isOverdue: boolean
-  /** Where no rack takes it, several together may. */
+  /** The gang may span racks if no single rack can take it. */
   readonly canSpanRacks: boolean
 }
 
--- a/batch/scheduler/src/planRound.ts
+++ b/batch/scheduler/src/planRound.ts
@@ -1,6 +1,6 @@
 /**
- * One round of decisions. Units come in their order of rank; each takes its room from what the ones before
- * left. Guaranteed and urgent work that does not fit may have others stopped, and their room is kept for it meanwhile.
+ * Plans a scheduling round. Units are placed in rank order, each in the capacity that the ones before it left.
+ * Guaranteed and urgent work that does not fit may preempt other runs, and the capacity they release is kept for it.
  */
 import type { Placement } from '@nettlespur/batch.state'
 import { chooseUpstreams } from './chooseUpstreams.js'
@@ -17,8 +17,8 @@
 import { VictimIndex } from './victimIndex.js'
 
 /**
- * Urgent units beyond their guarantee for which a round looks for something to stop, the first in rank. Each look goes
- * over all that runs, so without a bound a crowded round would take times as long.
+ * Urgent units beyond their guarantee for which a round searches for victims, in rank order. Each search goes over
+ * all runs, so without a limit a round under high load would take several times as long.
  */
 const urgentSearchesMax = 3
 
@@ -38,7 +38,7 @@
   readonly #started: ActiveRun[] = []
   readonly #view: SchedulerView
   readonly #guaranteed: ReadonlySet<string>
-  /** What may be stopped; listed when first needed. */
+  /** Runs that may be preempted; computed on first use. */
   #victims: VictimIndex | undefined
   #urgentSearches = 0
 
@@ -52,7 +52,7 @@
     const upstreamIds = this.#chooseUpstreams(unit)
     if (upstreamIds.length > 0) this.#place(unit, upstreamIds)
     if (upstreamIds.length < unit.waiting.length) {
-      // Room that is made for a start on trial may be anywhere: what is stopped there is gone by then.
+      // Preemption for a trial start may free any upstream: the runs stopped there are gone before it starts.
       this.#handleUnplaced({
         ...unit,
         waiting: unit.waiting.slice(upstreamIds.length),
@@ -63,7 +63,7 @@
 
   #chooseUpstreams(unit: RankedUnit): string[] {
     const upstreamIds = chooseUpstreams(unit, this.#allocations)
-    // Without a quiet upstream a trial says less, but nobody is held up for it.
+    // On other upstreams a trial is less conclusive, but the unit does not wait for a suitable one.
     if (upstreamIds.length === 0 && unit.isOnTrial) {
       return this.#chooseUpstreams({ ...unit, isOnTrial: false })
     }
@@ -74,13 +74,13 @@
     )
   }
 
-  /** For what did not fit. */
+  /** Preempts or reserves capacity for the tasks that did not fit. */
   #handleUnplaced(unit: RankedUnit): void {
     if (this.#preemptFor(unit)) return
     if (unit.isOverdue) this.#reserve(unit)
   }
 
-  /** Only for the gang that is overdue: room kept idle for others leaves more jobs with nothing than it serves. */
+  /** Called only for the overdue gang: capacity kept idle for other gangs would delay more jobs than it helps. */
   #reserve(unit: RankedUnit): void {
     const runs = [...this.#view.runs, ...this.#started]
     runs.sort((left, right) => left.expectedEndMs - right.expectedEndMs)
@@ -105,7 +105,10 @@
     this.#started.push(...placed.map((placement) => this.#toActiveRun(unit, placement)))
   }
 
-  /** Keeps what is being freed for the unit, and has more stopped where that is too little; false where nothing would do. */
+  /**
+   * Allocates capacity that stopping runs will release, and preempts more runs if that is too little. Returns false
+   * if the unit may preempt nothing or the permitted preemptions do not free enough.
+   */
   #preemptFor(unit: RankedUnit): boolean {
     const costMaxCoreSeconds = computeStopCostLimit(unit)
     if (costMaxCoreSeconds === 0) return false
--- a/batch/scheduler/src/preemptionSearch.ts
+++ b/batch/scheduler/src/preemptionSearch.ts
@@ -1,13 +1,13 @@
 /**
- * Frees place for one more task of a unit at a time, wherever that is cheapest. What an upstream would cost is
- * worked out when it is first needed and again only once something on it has changed.
+ * Finds the cheapest preemptions for one more task of a unit at a time. The option of an upstream is computed when
+ * it is first needed, and again only after one of its runs was chosen.
  */
 import type { FitScope } from './fitTracker.js'
 import { sumCost, type VictimGroup } from './listVictimGroups.js'
 import { dropUnneededVictims } from './dropUnneededVictims.js'
 import { listUpstreamIds, type VictimIndex } from './victimIndex.js'
 
-/** What has to be stopped for one or more tasks on an upstream. */
+/** Victims whose capacity lets an upstream take one or more further tasks. */
 interface PreemptionOption {
   readonly groups: readonly VictimGroup[]
   readonly costPerTask: number
@@ -26,7 +26,10 @@
     this.#upstreamIds = victims.upstreamIds.filter((upstreamId) => scope.has(upstreamId))
   }
 
-  /** Gives the room of the groups back to the scope; undefined where no upstream can be freed for another task. */
+  /**
+   * Chooses the cheapest option and releases its capacity in the scope. Returns undefined if no upstream can be
+   * freed for another task.
+   */
   chooseCheapest(): readonly VictimGroup[] | undefined {
     const cheapest = this.#findCheapest()
     if (cheapest === undefined) return undefined
@@ -52,7 +55,7 @@
     for (const upstreamId of listUpstreamIds(group)) this.#options.delete(upstreamId)
   }
 
-  /** The scope is left as it was. */
+  /** Leaves the scope unchanged. */
   #computeOption(upstreamId: string): PreemptionOption | undefined {
     const scope = this.#scope
     const countBefore = scope.countOn(upstreamId)
--- a/batch/scheduler/src/promoteOverdueGang.ts
+++ b/batch/scheduler/src/promoteOverdueGang.ts
@@ -1,6 +1,6 @@
 /**
- * The one exception to the order of rank. A gang that needs much of a rack finds it free hardly ever while smaller
- * work goes before it and takes each piece, so one gang at a time goes before all but guaranteed work.
+ * The only exception to rank order. A gang that needs much of a rack would starve while higher-ranked small work
+ * takes each piece that becomes free, so one gang at a time goes before all but guaranteed work.
  */
 import type { Resources } from '@nettlespur/batch.model'
 import { listScopes } from './listScopes.js'
@@ -9,17 +9,18 @@
 import { countWhenEmpty, type RoundAllocations } from './roundAllocations.js'
 import type { StartUnit } from './startUnit.js'
 
-/** How long a gang that can earn nothing any more goes on waiting behind all others: it must end too. */
+/** How long after its last useful start a gang keeps its low rank; after that it is promoted, so that it ends too. */
 const overdueGraceMs = 15_000
-/** While this share of a pool is free, a gang waits only for where the smaller work runs. */
+/** If this share of a pool is free, a gang waits only because of where smaller work runs. */
 const ampleFreeShare = 0.5
 /**
- * How many times as long a gang that prefers one rack runs across racks, by the platform's agreement. It waits no
- * longer than being spread costs it, so that it never loses more than twice the least; and it is spread only while
- * half of its pool is free, where it keeps nobody waiting. Otherwise it could wait without end beside ample room.
+ * How many times as long a gang that prefers one rack runs across racks, by the platform's agreement. The gang waits
+ * for a rack no longer than the time it would lose across racks, so it never loses more than twice what the better
+ * choice would have cost. It spans racks only while half of its pool is free, where it delays no other work. Without
+ * this rule it could wait forever although there is ample free capacity.
  */
 const crossRackSlowdown = 3
-/** What the gang needs is free this many times over. */
+/** How many times the gang's needs must be free for the pool to count as having ample capacity. */
 const ampleNeedsFactor = 2
 
 interface PoolCapacity {
@@ -27,7 +28,7 @@
   capacity: Resources
 }
 
-/** The same units; the oldest gang that is overdue comes right behind the guaranteed ones. */
+/** Returns the same units, with the oldest overdue gang moved right behind the guaranteed ones. */
 export function promoteOverdueGang(
   units: readonly RankedUnit[],
   allocations: RoundAllocations,
@@ -44,6 +45,7 @@
   return [...guaranteed, { ...overdue, isOverdue: true, canSpanRacks }, ...rest]
 }
 
+/** A gang is overdue once its grace period has passed, or while its pool has ample free capacity. */
 function findOverdueGang(
   gangs: readonly RankedUnit[],
   pools: ReadonlyMap<string, PoolCapacity>,
@@ -66,7 +68,7 @@
   return nowMs > lastUsefulStartMs + overdueGraceMs
 }
 
-/** By accelerators, or by cores for a gang that needs none. */
+/** Compares accelerators, or cores for a gang that needs no accelerators. */
 function hasAmpleCapacity(
   { job, step, waiting }: StartUnit,
   pools: ReadonlyMap<string, PoolCapacity>,
@@ -92,7 +94,7 @@
   return pools
 }
 
-/** A gang that no empty upstreams could take must not stand before the others. */
+/** A gang that would not fit even on empty upstreams must not be promoted: it would block the others. */
 function canFitWhenEmpty(unit: StartUnit, allocations: RoundAllocations): boolean {
   return listScopes(unit, allocations).some((upstreams) => {
     const whenEmpty = upstreams.reduce(
--- a/batch/scheduler/src/reserveForGang.ts
+++ b/batch/scheduler/src/reserveForGang.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps room for a gang that does not fit yet, so that smaller work does not take each piece that comes
- * free. The earliest time is sought at which it fits as runs are expected to end; what ends before that time
- * may still start there.
+ * Reserves capacity for a gang that does not fit yet, so that smaller work does not take each piece that becomes
+ * free. The reservation begins when enough runs are expected to have ended; tasks that end before that may be
+ * backfilled.
  */
 import { trackScopes, type FitScope } from './fitTracker.js'
 import { addResources } from './resources.js'
@@ -12,11 +12,11 @@
 export interface ReserveForGangOptions {
   unit: StartUnit
   allocations: RoundAllocations
-  /** Sorted by their expected ends. */
+  /** Sorted by expected end. */
   runs: readonly ActiveRun[]
 }
 
-/** Books the room; nothing where the gang would not fit even without all that runs. */
+/** Adds the reservation, or does nothing if the gang would not fit even after all runs have ended. */
 export function reserveForGang({ unit, allocations, runs }: ReserveForGangOptions): void {
   const scopes = trackScopes(unit, allocations, ({ freeAfterStops }) => freeAfterStops)
   let scope = scopes.find(({ fits }) => fits)
--- a/batch/scheduler/src/roundAllocations.ts
+++ b/batch/scheduler/src/roundAllocations.ts
@@ -1,22 +1,22 @@
-/** The rooms of one round as they fill up: each decision takes from what the next one finds. */
+/** Tracks the capacity allocated within one round: each decision leaves less for the next ones. */
 import type { Resources, StepSpec } from '@nettlespur/batch.model'
 import { addResources, countFitting, noResources } from './resources.js'
 import type { SchedulableUpstream } from './schedulerView.js'
 import type { StartUnit } from './startUnit.js'
 
-/** What is left of an upstream's room from a time on, at which others are to start there. */
+/** Capacity that stays free on an upstream once a gang with a reservation starts there at `fromMs`. */
 interface Reservation {
   readonly fromMs: number
   free: Resources
 }
 
-/** One upstream's room within a round. */
+/** The capacity of one upstream within a round. */
 export class UpstreamAllocation {
   readonly view: SchedulableUpstream
   free: Resources
   freeAfterStops: Resources
   readonly reservations: Reservation[] = []
-  /** Something starts there in this round. */
+  /** This round starts a run on the upstream. */
   #hasNewRun = false
 
   constructor(view: SchedulableUpstream) {
@@ -29,18 +29,18 @@
     return this.view.upstreamId
   }
 
-  /** What starts there would be the only one to blame for a crash. */
+  /** Whether a crash could be attributed to a run that starts here. */
   get isSuitableForTrial(): boolean {
     return !this.#hasNewRun && this.view.isSuitableForTrial
   }
 
-  /** Nothing more is to start there for now. */
+  /** Prevents further starts on the upstream in this round. */
   blockStarts(): void {
     this.free = noResources
     this.freeAfterStops = noResources
   }
 
-  /** Takes the room of one task that ends at `endMs`. */
+  /** Allocates capacity for one task that ends at `endMs`. */
   allocate(needs: Resources, endMs: number): void {
     this.#hasNewRun = true
     this.free = addResources(this.free, needs, -1)
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Tasks that end at `endMs` and fit both now and beside what is to start before that. */
+  /** Returns how many tasks that end at `endMs` fit, without delaying gangs whose reservations begin before. */
   countFitting(needs: Resources, endMs: number): number {
     let count = countFitting(this.free, needs)
     for (const { fromMs, free } of this.reservations) {
@@ -75,31 +75,31 @@
     return this.#byId.get(upstreamId)
   }
 
-  /** When a task of the step ends that starts now. */
+  /** Returns the expected end of a task of the step that starts now. */
   estimateEndMs({ expectedRunTimeMs }: StepSpec): number {
     return this.nowMs + expectedRunTimeMs
   }
 
-  /** Takes one task's room on each upstream named, however often it is named. */
+  /** Allocates capacity for one task per entry; an upstream may occur several times. */
   allocate(upstreamIds: readonly string[], step: StepSpec): void {
     for (const upstreamId of upstreamIds) {
       this.#byId.get(upstreamId)?.allocate(step.needs, this.estimateEndMs(step))
     }
   }
 
-  /** Nothing more is to start on the upstreams named. */
+  /** Prevents further starts on these upstreams in this round. */
   blockStarts(upstreamIds: readonly string[]): void {
     for (const upstreamId of upstreamIds) this.#byId.get(upstreamId)?.blockStarts()
   }
 
-  /** The room of a run that is about to be stopped. */
+  /** Adds the capacity of a run that is about to be stopped to `freeAfterStops`. */
   releaseAfterStop(upstreamId: string, needs: Resources): void {
     const upstream = this.#byId.get(upstreamId)
     if (upstream !== undefined)
       upstream.freeAfterStops = addResources(upstream.freeAfterStops, needs)
   }
 
-  /** Whether this many tasks could start now by their accelerators alone: a cheap look before the exact one. */
+  /** Whether the free accelerators alone suffice for this many tasks: a cheap check before the exact one. */
   hasEnoughAccelerators({ needs }: StepSpec, taskCount: number): boolean {
     if (needs.accelerators === 0) return true
     let missing = taskCount
@@ -111,15 +111,15 @@
     return false
   }
 
-  /** How many of the unit's tasks the upstream can take now. */
+  /** Returns how many of the unit's tasks the upstream can take now. */
   countTasks(unit: StartUnit, upstream: UpstreamAllocation): number {
     const fitting = upstream.countFitting(unit.step.needs, this.estimateEndMs(unit.step))
     return limitTasks(unit, upstream.upstreamId, fitting)
   }
 
   /**
-   * Rooms in which the unit's tasks may run, those where they failed only if the others could never do. For a start on trial
-   * only quiet ones.
+   * Returns the upstreams on which the unit's tasks may run. Upstreams on which they have failed are included only
+   * if the others could not take the unit even when empty. A trial start gets only upstreams that are suitable for it.
    */
   listEligible(unit: StartUnit): UpstreamAllocation[] {
     const { job, step, avoided, isOnTrial } = unit
@@ -133,7 +133,7 @@
   }
 }
 
-/** The rooms for which the condition holds, where they could take the unit when empty; else all. */
+/** Returns the preferred upstreams if they could take the unit when empty, otherwise all. */
 function preferIfSufficient(
   { step, waiting }: StartUnit,
   upstreams: UpstreamAllocation[],
@@ -146,17 +146,17 @@
   return taskCapacity >= wanted ? preferred : upstreams
 }
 
-/** How many tasks of the step the upstream takes when nothing else runs there. */
+/** Returns how many tasks of the step the upstream can take when it is empty. */
 export function countWhenEmpty(step: StepSpec, { view }: UpstreamAllocation): number {
   return Math.min(countFitting(view.capacity, step.needs), step.tasksPerUpstreamMax ?? Infinity)
 }
 
-/** How many of the unit's tasks fit where this much is left. */
+/** Returns how many of the unit's tasks fit on the upstream if this much of it is free. */
 export function countTasksIn(unit: StartUnit, upstreamId: string, free: Resources): number {
   return limitTasks(unit, upstreamId, countFitting(free, unit.step.needs))
 }
 
-/** As many as wait, and no more on one upstream than the step allows. */
+/** Limits a count to the waiting tasks and to the step's maximum per upstream. */
 function limitTasks({ step, record, waiting }: StartUnit, upstreamId: string, fitting: number) {
   const count = Math.min(fitting, waiting.length)
   if (step.tasksPerUpstreamMax === undefined || count === 0) return count
--- a/batch/scheduler/src/schedulerView.ts
+++ b/batch/scheduler/src/schedulerView.ts
@@ -1,61 +1,66 @@
-/** All that one round of decisions looks at. The round changes none of it but its own copies of the rooms. */
+/** Input and result of a scheduling round. A round does not modify its input. */
 import type { JobRecord, Placement } from '@nettlespur/batch.state'
 import type { Resources, TaskRef } from '@nettlespur/batch.model'
 
-/** An upstream that may be given work. */
+/** An upstream that accepts new work, with its capacity at the start of the round. */
 export interface SchedulableUpstream {
   readonly upstreamId: string
   readonly pool: string
   readonly rack: string
   readonly labels: readonly string[]
   readonly capacity: Resources
-  /** What one more task may take now. */
+  /** Capacity that new tasks may use now. */
   readonly free: Resources
-  /** `free`, and what runs that are being stopped will give back. */
+  /** `free` plus the capacity that runs being stopped will release. */
   readonly freeAfterStops: Resources
-  /** What starts there would be the only one to blame if it crashed: no run there is new, and it has not crashed lately. */
+  /**
+   * A crash could be attributed to a run that starts here: all other runs here are proven, and the upstream
+   * has not crashed recently.
+   */
   readonly isSuitableForTrial: boolean
 }
 
-/** A run that may be stopped for others. */
+/** A run in progress, which other work may preempt. */
 export interface ActiveRun {
   readonly placement: Placement
   readonly needs: Resources
-  /** On the clock of `nowMs`, as its progress or its declared run time says. */
+  /** On the clock of `nowMs`; estimated from its progress or its declared run time. */
   readonly expectedEndMs: number
-  /** Work that a stop would throw away, in core-seconds. */
+  /** Work lost if the run is stopped, in core-seconds. */
   readonly stopCostCoreSeconds: number
-  /** It has been told to stop, or is about to be. */
+  /** A stop has been ordered or is about to be. */
   readonly isStopping: boolean
 }
 
 export interface SchedulerView {
   readonly nowMs: number
-  /** In the order in which they were accepted. */
+  /** In order of acceptance. */
   readonly jobs: readonly JobRecord[]
-  /** When each job came, on the clock of `nowMs`. */
+  /** Acceptance times by job id, on the clock of `nowMs`. */
   readonly acceptedAtMs: ReadonlyMap<string, number>
   readonly upstreams: readonly SchedulableUpstream[]
   readonly runs: readonly ActiveRun[]
-  /** Whether the run was seen at work for long enough that it will not crash its upstream by being started. */
+  /** Whether the run has been seen running for so long that its start no longer explains a crash of its upstream. */
   readonly isProven: (run: Placement) => boolean
-  /** Whether the task is not to start for a moment, as its last starts came to nothing. */
+  /** Whether the task is in backoff because its last runs ended as `lost` or `crashed`. */
   readonly isPaused: (task: TaskRef) => boolean
-  /** Accelerators that each workspace is guaranteed. */
+  /** Guaranteed accelerators by workspace. */
   readonly guarantees: ReadonlyMap<string, number>
 }
 
-/** A run to stop, so that other work can start in its place. */
+/** A run to stop so that another job can use its capacity. */
 export interface Preemption {
   readonly run: Placement
   readonly forJobId: string
-  /** Whether that job has its room promised; else it is urgent and its own work is worth more. */
+  /**
+   * Whether that job is within the guarantee of its workspace; otherwise it is urgent, and its work is worth more
+   * than what is lost.
+   */
   readonly isGuaranteed: boolean
-  /** Its share of what the stop throws away, in core-seconds; urgent work counts five times. */
+  /** The run's share of the work lost with its victim group, in core-seconds; urgent work counts five times. */
   readonly lostCoreSeconds: number
 }
 
-/** What a round has decided. */
 export interface RoundDecision {
   readonly placements: Placement[]
   readonly preemptions: Preemption[]
--- a/batch/scheduler/src/startUnit.ts
+++ b/batch/scheduler/src/startUnit.ts
@@ -1,4 +1,4 @@
-/** What can be started on its own: a whole gang, or the waiting tasks of a step of which each may start alone. */
+/** A unit of scheduling: a whole gang, or waiting tasks of a step that may start independently. */
 import type { StepSpec } from '@nettlespur/batch.model'
 import {
   isSuspectTask,
@@ -14,15 +14,15 @@
   readonly stepNumber: number
   readonly step: StepSpec
   readonly record: StepRecord
-  /** Indexes of the tasks that wait. */
+  /** Indexes of the waiting tasks. */
   readonly waiting: readonly number[]
-  /** Upstreams on which one of them has failed. */
+  /** Upstreams on which one of these tasks has failed. */
   readonly avoided: ReadonlySet<string>
-  /** It is suspected of crashing the upstreams that start it: nothing else is to start where it does for a while. */
+  /** Suspected of crashing the upstreams that start it: for a while nothing else may start on the same upstream. */
   readonly isOnTrial: boolean
 }
 
-/** The units of a job that may start: all steps they depend on are done. */
+/** Returns the units of a job that may start now, which excludes steps whose dependencies are not done. */
 export function listUnits(
   job: JobRecord,
   { isProven, isPaused }: Pick<SchedulerView, 'isProven' | 'isPaused'>,
@@ -35,7 +35,7 @@
     const waiting = listWaiting(record).filter(
       (index) => !isPaused({ jobId, step: stepNumber, index }),
     )
-    // A gang starts whole, once all of its former attempt has ended.
+    // A gang starts as a whole, after every member of its previous attempt has ended.
     const isStartable = step.isGang ? waiting.length === step.taskCount : waiting.length > 0
     if (!isStartable) return []
     const unit = { job, stepNumber, step, record }
@@ -46,7 +46,7 @@
   })
 }
 
-/** Stands for its gang. */
+/** Any member identifies its gang to `isSuspectTask`. */
 function firstTask(step: number) {
   return { step, index: 0 }
 }
@@ -61,7 +61,7 @@
   return { ...unit, waiting, avoided, isOnTrial }
 }
 
-/** Places the waiting tasks, in their order, on as many upstreams as are given. */
+/** Assigns the waiting tasks, in order, to the given upstreams. */
 export function createPlacements(unit: StartUnit, upstreamIds: readonly string[]): Placement[] {
   const { job, stepNumber, step, record, waiting } = unit
   const gangAttempt = Math.max(...record.tasks.map(({ attempt }) => attempt)) + 1
--- a/batch/scheduler/src/victimIndex.ts
+++ b/batch/scheduler/src/victimIndex.ts
@@ -1,6 +1,6 @@
 /**
- * What may be stopped, by the upstreams that it would free. Made once for all units and racks of a round that look: each
- * of these only goes over the upstreams of its own.
+ * Index of victim groups by the upstreams on which they run. It is built once and shared by all searches of a round,
+ * so that each search visits only the upstreams of its scope.
  */
 import type { VictimGroup } from './listVictimGroups.js'
 
@@ -10,7 +10,7 @@
   readonly #groups: readonly VictimGroup[]
   readonly #byUpstream = new Map<string, VictimGroup[]>()
 
-  /** The groups come with the cheapest for the room it gives first, and stay in that order. */
+  /** `groups` is sorted by cost per accelerator, cheapest first; the order is kept. */
   constructor(groups: readonly VictimGroup[]) {
     this.#groups = groups
     for (const group of groups) {
@@ -18,7 +18,7 @@
     }
   }
 
-  /** Upstreams on which something may be stopped. */
+  /** Upstreams with at least one run that may be preempted. */
   get upstreamIds(): string[] {
     return [...this.#byUpstream.keys()]
   }
@@ -39,7 +39,7 @@
   }
 }
 
-/** Each once, however many runs of the group it holds. */
+/** Returns each upstream with a run of the group once. */
 export function listUpstreamIds({ runs }: VictimGroup): Set<string> {
   return new Set(runs.map(({ upstreamId }) => upstreamId))
 }
--- a/batch/scheduler/test/overdueGangs.test.ts
+++ b/batch/scheduler/test/overdueGangs.test.ts
@@ -1,9 +1,9 @@
-/** Gangs that wait long: what goes before them, and when they go before others. */
+/** Gangs that wait long: what is placed before them, and when they are promoted. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { createGang, Fleet } from '../__utils__/index.js'
 
-test('a gang that is late beyond hope still gets its room, against small work that keeps coming', (t) => {
+test('an overdue gang gets its capacity although small work keeps arriving', (t) => {
   const fleet = new Fleet('r1', 'r1')
   const needs = { cpuMillicores: 1000, memoryMiB: 1000, accelerators: 1 }
   fleet.submit(createJob('small', { taskCount: 16, needs }))
@@ -15,7 +15,7 @@
   t.deepEqual(fleet.decide().placements, [])
 })
 
-test('room is kept for a gang that is overdue, and only what ends in time starts there meanwhile', (t) => {
+test('capacity is reserved for an overdue gang, and only tasks that end before its start are backfilled', (t) => {
   const fleet = new Fleet('r1', 'r1')
   fleet.submit(createJob('first', createGang(1, 4)))
   fleet.decide()
@@ -29,7 +29,7 @@
   )
 })
 
-test('a gang that waits beyond its patience still comes after guaranteed work', (t) => {
+test('an overdue gang still comes after guaranteed work', (t) => {
   const fleet = new Fleet('r1', 'r1')
   fleet.submit(createJob('old', createGang(2, 8)))
   fleet.nowMs = 1_000_000
@@ -40,7 +40,7 @@
   )
 })
 
-test('a gang late beyond hope lets others go first until its patience is over', (t) => {
+test('a gang past its last useful start is promoted only after the grace period', (t) => {
   const startedAt = (nowMs: number): string[] => {
     const fleet = new Fleet('r1')
     fleet.submit(createJob('old', createGang(1, 8)))
@@ -48,12 +48,12 @@
     fleet.submit(createJob('timely', createGang(1, 8)))
     return fleet.decide().placements.map(({ jobId }) => jobId)
   }
-  // Its objective is 3 s, its run 1 s: a start is of no use any more from 8 s on, and it is patient for 15 s.
+  // The objective is 3 s and the run time 1 s, so the last useful start is at 8 s; the grace period is 15 s.
   t.deepEqual(startedAt(22_900), ['timely'])
   t.deepEqual(startedAt(23_100), ['old'])
 })
 
-test('while half of the room is free, the oldest gang keeps a rack against smaller work', (t) => {
+test('while half of the pool is free, the oldest gang goes before smaller work in its rack', (t) => {
   const fleet = new Fleet('r1', 'r1', 'r2', 'r2', 'r2', 'r2')
   const needs = { cpuMillicores: 1000, memoryMiB: 1000, accelerators: 1 }
   const inRack = (requiredLabel: string, taskCount: number) => ({ taskCount, needs, requiredLabel })
@@ -65,7 +65,7 @@
   t.deepEqual(placed, [])
 })
 
-test('a gang that no empty rack could take stands before nobody', (t) => {
+test('a gang that would not fit on empty upstreams is not promoted', (t) => {
   const fleet = new Fleet('r1')
   fleet.submit(createJob('impossible', createGang(2, 8)))
   fleet.submit(createJob('old', createGang(1, 8)))
@@ -78,11 +78,10 @@
 })
 
 /**
- * What users saw: a gang of four whole upstreams waited for 29 s, to the end of the day, while half of the room was
- * free. Each rack held something, and the gang prefers one rack: it was kept from all others, although it would only
- * have been slower there.
+ * Guards against a gang that waits forever while half of the pool is free: it prefers one rack, and each rack runs
+ * something else. Across racks the gang would only be slower.
  */
-test('a gang that has waited for a rack as long as two would cost it starts in two, where half of the room is free', (t) => {
+test('a gang that has waited for one rack as long as spanning two costs spans two, if half of the pool is free', (t) => {
   const racks = ['r1', 'r2', 'r3', 'r4']
   const fleet = new Fleet(...racks.flatMap((rack) => [rack, rack]))
   const needs = { cpuMillicores: 1000, memoryMiB: 1000, accelerators: 8 }
--- a/batch/scheduler/test/planRound.test.ts
+++ b/batch/scheduler/test/planRound.test.ts
@@ -1,4 +1,4 @@
-/** One round of decisions over small fleets. */
+/** Scheduling rounds on small fleets. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { createGang, Fleet } from '../__utils__/index.js'
@@ -30,7 +30,7 @@
   )
 })
 
-test('tasks that are slow across racks stay in one, and are split only where no rack could take them', (t) => {
+test('a gang that prefers one rack is placed in one, and across racks only if no rack could take it', (t) => {
   const fleet = new Fleet('r1', 'r2', 'r2')
   fleet.submit(createJob('one-rack', createGang(2, 8, { prefersOneRack: true })))
   t.deepEqual(
@@ -42,7 +42,7 @@
   t.is(wide.decide().placements.length, 3)
 })
 
-test('labels, the data rack and the limit of tasks on one upstream are kept', (t) => {
+test('the required label, the data rack and the limit of tasks per upstream are respected', (t) => {
   const fleet = new Fleet('r1', 'r2')
   fleet.submit(createJob('label', { requiredLabel: 'r2' }))
   fleet.submit(createJob('rack', { dataRack: 'r1' }))
@@ -55,7 +55,7 @@
   t.deepEqual(on('apart').sort(), ['u0', 'u1'])
 })
 
-test('guaranteed work has others stopped, keeps their room, and starts there', (t) => {
+test('guaranteed work preempts other runs, keeps the capacity they release, and starts there', (t) => {
   const fleet = new Fleet('r1')
   fleet.submit(createJob('borrower', createGang(1, 8)))
   const [borrower] = fleet.decide().placements
@@ -74,18 +74,18 @@
   )
 })
 
-test('nothing is stopped for other priorities, nor for urgent work beyond the guarantee that is worth less', (t) => {
+test('nothing is preempted for other priorities, nor for urgent work beyond the guarantee that is worth less', (t) => {
   const fleet = new Fleet('r1', 'r1', 'r1')
   fleet.submit(createJob('borrower', createGang(3, 8)))
   fleet.decide()
-  // Three tasks of 65 cores for a second: more would be thrown away than is done.
+  // The urgent job is three tasks of 65 cores for one second: preemption would discard more work than that.
   fleet.stopCosts.set('borrower', 66)
   fleet.submit(createJob('too-large', createGang(3, 8)), 0)
   fleet.submit(createJob('normal', createGang(1, 8)), 1)
   t.deepEqual(fleet.decide().preemptions, [])
 })
 
-test('urgent work beyond the guarantee stops what is worth less, and only while it can end in time', (t) => {
+test('urgent work beyond the guarantee preempts runs that are worth less, but only while it can end on time', (t) => {
   const fleet = new Fleet('r1', 'r1', 'r1')
   fleet.submit(createJob('borrower', createGang(3, 8)))
   fleet.decide()
@@ -99,11 +99,11 @@
   t.true(stopped.every(({ forJobId, isGuaranteed }) => forJobId === 'urgent' && !isGuaranteed))
 })
 
-test('a round stops others for three urgent jobs at most, and the next one goes on', (t) => {
+test('one round preempts for at most three urgent jobs beyond the guarantee', (t) => {
   const fleet = new Fleet('r1', 'r1', 'r1', 'r1', 'r1', 'r1', 'r1')
   fleet.submit(createJob('small', { taskCount: 56 }))
   fleet.decide()
-  // Two are guaranteed, the other five are beyond it.
+  // Two jobs are within the guarantee, the other five beyond it.
   for (const at of [0, 1, 2, 3, 4, 5, 6]) {
     fleet.submit(createJob(`urgent${at}`, createGang(1, 8)), 0)
   }
@@ -111,7 +111,7 @@
   t.is(helped(), 2 + 3)
 })
 
-test('only as many are stopped as are needed', (t) => {
+test('no more runs are preempted than needed', (t) => {
   const fleet = new Fleet('r1', 'r1')
   for (const at of [0, 1, 2, 3]) fleet.submit(createJob(`borrower${at}`, createGang(1, 4)))
   fleet.decide()
@@ -119,12 +119,12 @@
   t.is(fleet.decide().preemptions.length, 1)
 })
 
-test('a wide gang is spared where the room of one of its members is wanted and small runs give it for less', (t) => {
+test('a wide gang is not preempted for one upstream if stopping small runs frees one at a lower total cost', (t) => {
   const fleet = new Fleet('r1', 'r1', 'r1')
   fleet.submit(createJob('wide', createGang(2, 8)))
   fleet.submit(createJob('small', { taskCount: 8 }))
   t.is(fleet.decide().placements.length, 10)
-  // For each accelerator that comes free the gang is the cheaper: 1.25 core-seconds instead of 1.5.
+  // Per accelerator the gang is cheaper: 1.25 core-seconds instead of 1.5.
   fleet.stopCosts.set('wide', 10)
   fleet.stopCosts.set('small', 1.5)
   fleet.submit(createJob('guaranteed', createGang(1, 8)), 0)
@@ -132,7 +132,7 @@
   t.deepEqual(new Set(stopped), new Set(['small']))
 })
 
-test('a gang of several tasks is given the upstreams that are cheapest to free', (t) => {
+test('a gang of several tasks gets the upstreams that are cheapest to free', (t) => {
   const fleet = new Fleet('r1', 'r1', 'r1')
   for (const at of [0, 1, 2]) {
     fleet.submit(createJob(`borrower${at}`, createGang(1, 8)))
@@ -144,7 +144,7 @@
   t.deepEqual(new Set(stopped), new Set(['borrower1', 'borrower2']))
 })
 
-test('a task goes elsewhere after it failed, and back only where nowhere else could take it', (t) => {
+test('a failed task is placed on another upstream, and on the same one only if no other could take it', (t) => {
   const fleet = new Fleet('r1', 'r1')
   fleet.submit(createJob('j', { taskCount: 1 }))
   const [first] = fleet.decide().placements
@@ -159,7 +159,7 @@
   t.is(alone.decide().placements.length, 1)
 })
 
-test('a gang that waits in its turn leaves no room idle: smaller work starts beside it', (t) => {
+test('no capacity is reserved for a waiting gang that is not overdue: smaller work starts', (t) => {
   const fleet = new Fleet('r1', 'r1')
   fleet.submit(createJob('first', createGang(1, 4)))
   fleet.decide()
--- a/batch/scheduler/test/trials.test.ts
+++ b/batch/scheduler/test/trials.test.ts
@@ -1,17 +1,17 @@
-/** Starts of tasks that are suspected of crashing their upstreams: where they go, and how many at a time. */
+/** Trial starts of tasks suspected of crashing their upstreams: on which upstreams, and how many at a time. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { Fleet } from '../__utils__/index.js'
 
 const small = { cpuMillicores: 1000, memoryMiB: 1000, accelerators: 1 }
 
-/** A job whose tasks have all brought down their upstreams once. */
+/** Submits a job and lets each of its tasks crash its upstream once. */
 function startSuspects(fleet: Fleet, taskCount: number): void {
   fleet.submit(createJob('suspect', { taskCount, needs: small }))
   for (const run of fleet.decide().placements) fleet.crash(run)
 }
 
-test('of a step whose tasks crash their upstreams one starts at a time, until it is seen at work', (t) => {
+test('suspected tasks of a step start one at a time, and more only as earlier ones are proven', (t) => {
   const fleet = new Fleet('r1', 'r1', 'r1', 'r1')
   startSuspects(fleet, 6)
   const counts = [0, 1, 2, 3].map(() => {
@@ -22,7 +22,7 @@
   t.deepEqual(counts, [1, 1, 2, 2])
 })
 
-test('a start on trial goes where nothing runs, and nothing else starts beside it', (t) => {
+test('a trial start is placed on an idle upstream, and nothing else starts there', (t) => {
   const fleet = new Fleet('r1', 'r1')
   fleet.submit(createJob('sound', { taskCount: 2, needs: small }))
   const [first] = fleet.decide().placements
@@ -40,7 +40,7 @@
   )
 })
 
-test('a start on trial does not wait for a quiet upstream where there is none', (t) => {
+test('a trial start does not wait if no upstream is suitable for a trial', (t) => {
   const fleet = new Fleet('r1')
   fleet.submit(createJob('sound', { taskCount: 2, needs: small }))
   fleet.decide()
@@ -49,7 +49,7 @@
   t.is(fleet.decide().placements.length, 1)
 })
 
-test('tasks of other jobs start as ever beside a suspect that waits', (t) => {
+test('a waiting suspected task does not delay tasks of other jobs', (t) => {
   const fleet = new Fleet('r1', 'r1')
   startSuspects(fleet, 4)
   fleet.submit(createJob('sound', { taskCount: 5, needs: small }), 0)
