--- a/batch/model/src/clusterConfig.ts
+++ b/batch/model/src/clusterConfig.ts
@@ -1,35 +1,33 @@
-/**
- * The configuration of the whole cluster. It is replaced as one document; the highest version is in force.
- */
+/** The configuration of the whole cluster. It is replaced as one document; the highest version is in force. */
 import { countSchema, durationMsSchema } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 
-/** A place where jobs are handed in, and how its jobs are treated. */
+/** A queue to which jobs are submitted, and how its jobs are scheduled. */
 export const queueConfigSchema = z.strictObject({
   name: z.string(),
-  /** Value of the `Host` header that leads here. */
+  /** `Host` header of calls to this queue. */
   host: z.string(),
-  /** Begins the path of each call; the longest one that fits wins. */
+  /** Prefix of the paths of calls to this queue; the longest matching prefix wins. */
   pathPrefix: z.string(),
-  /** The pool of upstreams that runs its tasks. */
+  /** The pool of upstreams that run its tasks. */
   pool: z.string(),
-  /** 0 comes first. */
+  /** 0 is the highest priority. */
   priority: countSchema,
-  /** Runs of one task that may fail before its job has failed. */
+  /** Failed runs of one task, or failed attempts of one gang, after which the job fails. */
   attemptsMax: countSchema,
-  /** A job is on time within this many times its longest chain of work, and `targetLatencyMs` more. */
+  /** A job is on time within this many times its longest chain of dependent steps, plus `targetLatencyMs`. */
   stretch: z.number().nonnegative(),
   targetLatencyMs: durationMsSchema,
-  /** Callers need no key. */
+  /** Calls are accepted without a key. */
   anonymous: z.boolean(),
 })
 export type QueueConfig = z.infer<typeof queueConfigSchema>
 
 export const poolConfigSchema = z.strictObject({
   name: z.string(),
-  /** Open connections that one upstream takes. */
+  /** Maximum number of open connections to one upstream. */
   connectionsMax: countSchema,
-  /** Its upstreams refuse by themselves what exceeds their capacity. */
+  /** Its upstreams refuse starts that exceed their capacity. */
   guardsCapacity: z.boolean(),
 })
 export type PoolConfig = z.infer<typeof poolConfigSchema>
@@ -37,7 +35,7 @@
 export const workspaceConfigSchema = z.strictObject({
   name: z.string(),
   keys: z.array(z.string()),
-  /** Accelerators that its jobs of priority 0 can have at any time. */
+  /** Accelerators that its jobs of priority 0 can claim at any time, by preemption if needed. */
   guaranteedAccelerators: countSchema,
 })
 export type WorkspaceConfig = z.infer<typeof workspaceConfigSchema>
@@ -47,7 +45,7 @@
   queues: z.array(queueConfigSchema),
   pools: z.array(poolConfigSchema),
   workspaces: z.array(workspaceConfigSchema),
-  /** The document as the operator sent it, which reads give back unchanged. */
+  /** The document as the operator sent it; reads return it unchanged. */
   source: z.string(),
 })
 export type ClusterConfig = z.infer<typeof clusterConfigSchema>
--- a/batch/model/src/findQueue.ts
+++ b/batch/model/src/findQueue.ts
@@ -1,4 +1,4 @@
-/** Which queue and workspace a call belongs to. */
+/** Finds the queue and the workspace of a call. */
 import type { ClusterConfig, QueueConfig, WorkspaceConfig } from './clusterConfig.js'
 
 export interface CallTarget {
@@ -6,7 +6,7 @@
   readonly path: string
 }
 
-/** The queue with the longest prefix that the path begins with; undefined where none fits. */
+/** Returns the queue with the longest prefix of the path, or undefined if none matches. */
 export function findQueue(
   { queues }: ClusterConfig,
   { host, path }: CallTarget,
@@ -19,7 +19,7 @@
   return best
 }
 
-/** The workspace that holds the key; undefined where none does. */
+/** Returns the workspace that has the key, or undefined if none has it. */
 export function findWorkspace(
   { workspaces }: ClusterConfig,
   key: string | undefined,
--- a/batch/model/src/index.ts
+++ b/batch/model/src/index.ts
@@ -1,4 +1,4 @@
-/** What batch work is made of: cluster configuration, jobs of steps and tasks, upstreams. */
+/** The data model of batch work: cluster configuration, jobs with their steps and tasks, and upstreams. */
 export * from './clusterConfig.js'
 export * from './findQueue.js'
 export * from './jobRequest.js'
--- a/batch/model/src/jobState.ts
+++ b/batch/model/src/jobState.ts
@@ -1,4 +1,4 @@
-/** Where a job stands, as its caller is told. */
+/** The state of a job as reported to its caller. */
 import { z } from 'zod'
 
 export const jobStateSchema = z.enum(['queued', 'running', 'completed', 'failed', 'cancelled'])
--- a/batch/model/src/listConfigFaults.ts
+++ b/batch/model/src/listConfigFaults.ts
@@ -1,7 +1,7 @@
-/** What makes a configuration unusable although each of its fields is well formed. */
+/** Finds inconsistencies that make a configuration unusable although each of its fields is well formed. */
 import type { ClusterConfig } from './clusterConfig.js'
 
-/** One line a fault; none where the configuration may be put in force. */
+/** Returns one line per fault; empty if the configuration may be put in force. */
 export function listConfigFaults(config: ClusterConfig): string[] {
   const pools = new Set(config.pools.map(({ name }) => name))
   const withoutPool = config.queues
--- a/batch/model/src/taskName.ts
+++ b/batch/model/src/taskName.ts
@@ -1,4 +1,4 @@
-/** Names one task of one job, and one run of it. */
+/** Identifiers of a task of a job, and of one run of the task. */
 import { countSchema } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 
@@ -9,7 +9,7 @@
 })
 export type TaskRef = z.infer<typeof taskRefSchema>
 
-/** Attempts of one task count from 1; members of a gang share theirs. */
+/** Attempts of a task are numbered from 1; members of a gang share the attempt number. */
 export const runRefSchema = taskRefSchema.extend({ attempt: countSchema })
 export type RunRef = z.infer<typeof runRefSchema>
 
@@ -21,7 +21,7 @@
   return `${taskKey(run)}#${run.attempt}`
 }
 
-/** The fields that name a run in a log line. */
+/** Returns the fields that identify a run in a log line. */
 export function runFields({ jobId, step, index, attempt }: RunRef): RunRef {
   return { jobId, step, index, attempt }
 }
--- a/batch/model/src/upstreamDescription.ts
+++ b/batch/model/src/upstreamDescription.ts
@@ -1,4 +1,4 @@
-/** What an upstream says of itself. One id is one life of the process: after a crash it has another. */
+/** An upstream as it describes itself. An id belongs to one lifetime of its process: after a crash it has a new one. */
 import { addressSchema } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 import { resourcesSchema } from './jobRequest.js'
@@ -16,16 +16,16 @@
 
 export const announcementSchema = upstreamDescriptionSchema.extend({
   isDraining: z.boolean(),
-  /** While it drains: it stays at least this long. */
+  /** Set while the upstream drains: it stays at least this long. */
   drainRemainingMs: z.number().nonnegative().optional(),
-  /** Rises with each announcement, so that a late one is told apart. */
+  /** Increases with each announcement, so that delayed ones can be detected. */
   sequence: z.number(),
-  /** Its steady clock when it announced. */
+  /** The upstream's monotonic clock at the announcement. */
   clockMs: z.number(),
 })
 export type Announcement = z.infer<typeof announcementSchema>
 
-/** The part of an announcement that is committed. */
+/** Returns the part of an announcement that is committed to the replicated state. */
 export function toDescription(announcement: Announcement): UpstreamDescription {
   const { upstreamId, pool, address, dataCentre, rack, labels, capacity } = announcement
   return { upstreamId, pool, address, dataCentre, rack, labels, capacity }
