--- a/batch/fakes/src/fakeUpstream.ts
+++ b/batch/fakes/src/fakeUpstream.ts
@@ -1,6 +1,6 @@
 /**
- * One life of an upstream as the platform describes it: fence, lease on its own clock, room, attempts, and
- * ends that stay listed until they are acknowledged. What breaks a promise is noted in the ledger.
+ * Fake of one process lifetime of an upstream, as the platform describes it: fencing, a lease on its own clock,
+ * capacity, attempts, and ends that stay listed until they are acknowledged. Violations are recorded in the ledger.
  */
 import { runKey, taskKey, type Resources, type RunRef } from '@nettlespur/batch.model'
 import type {
@@ -18,9 +18,9 @@
 import type { FleetLedger } from './fleetLedger.js'
 
 const stopDurationMs = 300
-/** A room that shrank counts this much later: its next announcement may be delayed. */
+/** Starts beyond a reduced capacity count as violations only after this time: the next announcement may be delayed. */
 const shrinkGraceMs = 4500
-/** From the start of a run that crashes its upstream until the crash. */
+/** Delay from the start of a crashing run to the crash. */
 const crashAfterMs = 10
 
 interface HeldRun {
@@ -34,12 +34,12 @@
   upstreamId: string
   address: string
   clock: Clock
-  /** Of its own clock against ours: from 0.98 to 1. */
+  /** Rate of its own clock relative to `clock`: from 0.98 to 1. */
   clockRate: number
   ledger: FleetLedger
-  /** It refuses what does not fit; else it starts whatever it is told to. */
+  /** Whether it refuses runs that exceed its capacity (the default); otherwise it starts them. */
   guardsCapacity?: boolean
-  /** Told once a run has brought it down; to call `crash` is left to its owner. */
+  /** Called when a run crashes the upstream; the callback has to call `crash`. */
   onCrashingRun?: () => void
 }
 
@@ -49,11 +49,11 @@
   isUp = true
   readonly #opts: FakeUpstreamOptions
   readonly #held = new Map<string, HeldRun>()
-  /** The highest attempt of each task that ended or was stopped here. */
+  /** The highest attempt of each task that ended or was stopped here, by task key. */
   readonly #closedAttempts = new Map<string, number>()
   #finished: FinishedRun[] = []
   #endCount = 0
-  /** Ends up to this one were listed when a lease lapsed: by the platform's agreement they no longer count. */
+  /** Ends up to this number happened before a lease lapsed: by the platform's agreement they no longer count. */
   #lastLapsedEnd = 0
   #fence = 0
   #leaseEndMs = 0
@@ -75,19 +75,19 @@
     return Math.floor(this.#opts.clock.monotonicMs() * this.#opts.clockRate) + 1000
   }
 
-  /** What it has now, as its announcements say. */
+  /** Its current number of accelerators, as reported in its announcements. */
   get accelerators(): number {
     return this.#accelerators
   }
 
-  /** Its room shrinks or grows while it runs. */
+  /** Changes the number of accelerators while it is up. */
   resize(accelerators: number): void {
     if (accelerators < this.#accelerators) this.#shrunkAtMs = this.#opts.clock.monotonicMs()
     this.#accelerators = accelerators
     this.#isCapacityAnnounced = false
   }
 
-  /** An announcement was answered, or was not: a room that has shrunk counts from the first that was. */
+  /** Records an announcement. After a reduction `shrinkGraceMs` counts from the first answered announcement. */
   noteAnnounced(isAnswered: boolean): void {
     if (this.#isCapacityAnnounced) return
     this.#isCapacityAnnounced = isAnswered
@@ -157,7 +157,7 @@
     }
   }
 
-  /** The run ends, unless it has ended before. */
+  /** Ends the run; does nothing if it has ended before or the upstream is down. */
   end(run: RunRef, outcome: FinishedOutcome): void {
     if (!this.isUp || !this.#held.delete(runKey(run))) return
     this.#closeAttempt(run)
@@ -167,7 +167,7 @@
     this.#opts.ledger.noteEnd(run, outcome)
   }
 
-  /** Everything that runs here is gone, and nothing is told of it but broken connections. */
+  /** Loses all runs without reporting their ends; callers only see broken connections. */
   crash(): void {
     this.isUp = false
     for (const wake of this.#waiters) wake()
--- a/batch/fakes/src/fleetLedger.ts
+++ b/batch/fakes/src/fleetLedger.ts
@@ -1,4 +1,4 @@
-/** What all upstreams of a test have run, and the promises that were broken on the way. */
+/** Records what all fake upstreams of a test run, and the invariants that are violated. */
 import { taskKey, type JobRequest, type Resources, type RunRef } from '@nettlespur/batch.model'
 import type { FinishedOutcome } from '@nettlespur/batch.sessions'
 import type { Clock } from '@nettlespur/core.clock'
@@ -6,35 +6,35 @@
 import type { FakeUpstream } from './fakeUpstream.js'
 
 const gangWaitMs = 3000
-/** After this many crashes a task that causes them may be started that many times more, less one. */
+/** A task that has caused this many crashes may be started at most `crashesMax - 1` more times. */
 const crashesMax = 3
 const noNeeds: Resources = { cpuMillicores: 0, memoryMiB: 0, accelerators: 0 }
 
 export interface FleetLedgerOptions {
   clock: Clock
   acceleratorsEach: number
-  /** How a run that is let work ends. */
+  /** Decides the outcome of a run that is not interrupted. */
   decideOutcome: (run: RunRef) => 'done' | 'failed'
-  /** Runs of a task that may fail before its job is given up. */
+  /** Failed runs of one task, or failed attempts of one gang, after which the job may be given up. */
   attemptsMax: number
-  /** Whether the run brings down the upstream that starts it. */
+  /** Whether the run crashes the upstream that starts it. */
   crashes?: (run: RunRef) => boolean
 }
 
 export class FleetLedger {
   readonly violations: string[] = []
-  /** Every start that was carried out. */
+  /** All starts that upstreams have carried out. */
   readonly starts: RunRef[] = []
   readonly acceleratorsEach: number
-  /** Tasks whose last end was `done` and has been acknowledged. */
+  /** Keys of tasks whose last end was `done` and has been acknowledged. */
   readonly doneTasks = new Set<string>()
   readonly #opts: FleetLedgerOptions
   readonly #jobs = new Map<string, JobRequest>()
   readonly #upstreams: FakeUpstream[] = []
   readonly #running = new Map<string, RunRef>()
-  /** The run of each task that ended `done` last, acknowledged or not. */
+  /** The last run of each task that ended `done`, acknowledged or not, by task key. */
   readonly lastDoneRuns = new Map<string, RunRef>()
-  /** Upstreams that a task has brought down. */
+  /** Number of upstream crashes that each task has caused, by task key. */
   readonly crashesCaused = new Map<string, number>()
   readonly #reasons: GiveUpReasons
   readonly #startsAfterCrashes = new Map<string, number>()
@@ -57,7 +57,7 @@
     return this.#jobs.get(jobId)?.steps[step]?.needs ?? noNeeds
   }
 
-  /** The tasks of a job, by their keys. */
+  /** Returns the keys of a job's tasks, and whether each belongs to a gang. */
   listTasks(jobId: string): { key: string; isGang: boolean }[] {
     const steps = this.#jobs.get(jobId)?.steps ?? []
     return steps.flatMap(({ taskCount, isGang }, step) =>
@@ -74,7 +74,8 @@
     this.starts.push(run)
     if (this.#running.has(key)) this.violations.push(`${name} started while another run is going`)
     if (this.doneTasks.has(key)) this.violations.push(`${name} started after it was done`)
-    if (!this.#dependenciesAreDone(run)) this.violations.push(`${name} started out of order`)
+    if (!this.#dependenciesAreDone(run))
+      this.violations.push(`${name} started before its dependencies were done`)
     this.#checkCrashBudget(key)
     this.#running.set(key, run)
     const step = this.#stepOf(run)
@@ -101,16 +102,16 @@
   }
 
   noteOvercommitted(run: RunRef): void {
-    this.violations.push(`${taskKey(run)}#${run.attempt} brought its upstream over its capacity`)
+    this.violations.push(`${taskKey(run)}#${run.attempt} exceeded the capacity of its upstream`)
   }
 
-  /** Its upstream crashed. */
+  /** Records that the run was lost because its upstream crashed. */
   noteLostInCrash(run: RunRef): void {
     this.#reasons.noteCrash(run)
     this.noteEnd(run, 'lapsed')
   }
 
-  /** Whether the job has failed, or gone down with upstreams, often enough to be given up. */
+  /** Whether tasks of the job have failed or been lost in crashes often enough for the job to be given up. */
   canBeGivenUp(jobId: string): boolean {
     return this.#reasons.canBeGivenUp(jobId)
   }
@@ -152,7 +153,7 @@
     })
   }
 
-  /** Members of the same attempt that are running now. */
+  /** Returns the running gang members of the same attempt. */
   #membersOf({ jobId, step, attempt }: RunRef): RunRef[] {
     return [...this.#running.values()].filter(
       (other) => other.jobId === jobId && other.step === step && other.attempt === attempt,
--- a/batch/fakes/src/giveUpReasons.ts
+++ b/batch/fakes/src/giveUpReasons.ts
@@ -1,7 +1,7 @@
-/** What speaks for giving jobs up: how often their tasks and gangs failed, and went down with their upstreams. */
+/** Decides which jobs may be given up, from how often their tasks and gangs failed or were lost in upstream crashes. */
 import { taskKey, type RunRef } from '@nettlespur/batch.model'
 
-/** Agreed with the users. */
+/** Crashes of one task's upstreams after which its job may be given up, as agreed with the users. */
 const crashesMin = 2
 
 export class GiveUpReasons {
@@ -10,7 +10,7 @@
   readonly #jobs = new Set<string>()
   readonly #attemptsMax: number
 
-  /** `attemptsMax`: as the queue of the jobs says. */
+  /** `attemptsMax` is that of the queue of the jobs. */
   constructor(attemptsMax: number) {
     this.#attemptsMax = attemptsMax
   }
@@ -19,7 +19,7 @@
     this.#count(this.#failures, run, { isGang, limit: this.#attemptsMax })
   }
 
-  /** Members of a gang count each by itself. */
+  /** Unlike failures, crashes are counted for each member of a gang separately. */
   noteCrash(run: RunRef): void {
     this.#count(this.#crashes, run, { isGang: false, limit: crashesMin })
   }
