--- a/batch/samples/src/index.ts
+++ b/batch/samples/src/index.ts
@@ -1,2 +1,2 @@
-/** Small configurations, jobs and upstreams for tests of batch work. */
+/** Fixtures for tests of batch work: small configurations, jobs and upstreams. */
 export * from './samples.js'
--- a/batch/samples/src/samples.ts
+++ b/batch/samples/src/samples.ts
@@ -1,4 +1,4 @@
-/** Small configurations and jobs for tests. */
+/** Small configurations, jobs and upstreams for tests. */
 import type {
   ClusterConfig,
   JobRequest,
@@ -45,7 +45,7 @@
 
 export const sampleAccelerators = 8
 
-/** An upstream of 8 accelerators in the rack named. */
+/** Creates an upstream with `sampleAccelerators` accelerators in the given rack. */
 export function createUpstream(upstreamId: string, rack = 'r1'): UpstreamDescription {
   return {
     upstreamId,
