--- a/batch/scheduler/src/listScopes.ts
+++ b/batch/scheduler/src/listScopes.ts
@@ -23,7 +23,7 @@
   return fitting.length > 0 ? fitting : [eligible]
 }
 
-/** Outside their data rack tasks take several times as long: used only if that rack has no eligible upstream. */
+/** Other racks are used only if the data rack has no eligible upstream: tasks take several times as long there. */
 function preferDataRack({ step }: StartUnit, eligible: UpstreamAllocation[]): UpstreamAllocation[] {
   if (step.dataRack === undefined) return eligible
   const inDataRack = eligible.filter(({ view }) => view.rack === step.dataRack)
