--- a/batch/fakes/src/fakeUpstream.ts
+++ b/batch/fakes/src/fakeUpstream.ts
@@ -1,6 +1,6 @@
 /**
- * One life of an upstream as the platform describes it: fence, lease on its own clock, room, attempts, and
- * ends that stay listed until they are acknowledged. What breaks a promise is noted in the ledger.
+ * Fake of one process lifetime of an upstream, as the platform describes it: fencing, a lease on its own clock,
+ * capacity, attempts, and ends that stay listed until they are acknowledged. Violations are recorded in the ledger.
  */
 import { runKey, taskKey, type Resources, type RunRef } from '@nettlespur/batch.model'
 import type {
@@ -17,10 +17,10 @@
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { FleetLedger } from './fleetLedger.js'
 
-const stopMs = 300
-/** A room that shrank counts this much later: its next announcement may be delayed. */
-const shrunkGraceMs = 4500
-/** From the start of a run that crashes its upstream until the crash. */
+const stopDurationMs = 300
+/** Starts beyond a reduced capacity count as violations only after this time: the next announcement may be delayed. */
+const shrinkGraceMs = 4500
+/** Delay from the start of a crashing run to the crash. */
 const crashAfterMs = 10
 
 interface HeldRun {
@@ -34,12 +34,12 @@
   upstreamId: string
   address: string
   clock: Clock
-  /** Of its own clock against ours: from 0.98 to 1. */
+  /** Rate of its own clock relative to `clock`: from 0.98 to 1. */
   clockRate: number
   ledger: FleetLedger
-  /** It refuses what does not fit; else it starts whatever it is told to. */
+  /** Whether it refuses runs that exceed its capacity (the default); otherwise it starts them. */
   guardsCapacity?: boolean
-  /** Told once a run has brought it down; to call `crash` is left to its owner. */
+  /** Called when a run crashes the upstream; the callback has to call `crash`. */
   onCrashingRun?: () => void
 }
 
@@ -49,48 +49,48 @@
   isUp = true
   readonly #opts: FakeUpstreamOptions
   readonly #held = new Map<string, HeldRun>()
-  /** The highest attempt of each task that ended or was stopped here. */
-  readonly #closed = new Map<string, number>()
+  /** The highest attempt of each task that ended or was stopped here, by task key. */
+  readonly #closedAttempts = new Map<string, number>()
   #finished: FinishedRun[] = []
-  #ends = 0
-  /** Ends up to this one were listed when a lease lapsed: by the platform's agreement they no longer count. */
-  #lapsedEnds = 0
+  #endCount = 0
+  /** Ends up to this number happened before a lease lapsed: by the platform's agreement they no longer count. */
+  #lastLapsedEnd = 0
   #fence = 0
   #leaseEndMs = 0
   #leaseTimer: Timer | undefined
   readonly #waiters = new Set<() => void>()
   #accelerators: number
   #shrunkAtMs = -Infinity
-  #isRoomHeard = true
+  #isCapacityAnnounced = true
 
   constructor(opts: FakeUpstreamOptions) {
     this.#opts = opts
     this.#accelerators = opts.ledger.acceleratorsEach
     this.upstreamId = opts.upstreamId
     this.address = opts.address
-    opts.ledger.addHolder(this)
+    opts.ledger.addUpstream(this)
   }
 
   get clockMs(): number {
     return Math.floor(this.#opts.clock.monotonicMs() * this.#opts.clockRate) + 1000
   }
 
-  /** What it has now, as its announcements say. */
+  /** Its current number of accelerators, as reported in its announcements. */
   get accelerators(): number {
     return this.#accelerators
   }
 
-  /** Its room shrinks or grows while it runs. */
+  /** Changes the number of accelerators while it is up. */
   resize(accelerators: number): void {
     if (accelerators < this.#accelerators) this.#shrunkAtMs = this.#opts.clock.monotonicMs()
     this.#accelerators = accelerators
-    this.#isRoomHeard = false
+    this.#isCapacityAnnounced = false
   }
 
-  /** An announcement was answered, or was not: a room that has shrunk counts from the first that was. */
+  /** Records an announcement. After a reduction `shrinkGraceMs` counts from the first answered announcement. */
   noteAnnounced(isAnswered: boolean): void {
-    if (this.#isRoomHeard) return
-    this.#isRoomHeard = isAnswered
+    if (this.#isCapacityAnnounced) return
+    this.#isCapacityAnnounced = isAnswered
     if (this.#shrunkAtMs > -Infinity) this.#shrunkAtMs = this.#opts.clock.monotonicMs()
   }
 
@@ -100,21 +100,21 @@
     if (fence < this.#fence) return { type: 'refused', reason: 'fence', clockMs }
     this.#fence = fence
     if (leaseEndMs <= clockMs) return { type: 'refused', reason: 'lease-over', clockMs }
-    this.#renew(leaseEndMs)
+    this.#renewLease(leaseEndMs)
     if (this.#held.has(runKey(run))) return { type: 'started', clockMs }
-    if ((this.#closed.get(taskKey(run)) ?? 0) >= run.attempt) {
+    if ((this.#closedAttempts.get(taskKey(run)) ?? 0) >= run.attempt) {
       return { type: 'refused', reason: 'superseded', clockMs }
     }
     const needs = ledger.needsOf(run)
     const startedAtMs = clock.monotonicMs()
-    if (this.#used() + needs.accelerators > this.#accelerators) {
+    if (this.#countUsedAccelerators() + needs.accelerators > this.#accelerators) {
       if (this.#opts.guardsCapacity !== false)
         return { type: 'refused', reason: 'no-room', clockMs }
-      if (startedAtMs - this.#shrunkAtMs > shrunkGraceMs) ledger.noteOverfilled(run)
+      if (startedAtMs - this.#shrunkAtMs > shrinkGraceMs) ledger.noteOvercommitted(run)
     }
     this.#held.set(runKey(run), { run, needs, startedAtMs, isStopping: false })
     ledger.noteStart(run, this)
-    if (ledger.crashes(run)) this.#crashSoon(run)
+    if (ledger.shouldCrash(run)) this.#crashSoon(run)
     return { type: 'started', clockMs }
   }
 
@@ -122,11 +122,11 @@
     const clockMs = this.clockMs
     if (fence < this.#fence) return { type: 'fence', clockMs }
     this.#fence = fence
-    this.#close(run)
+    this.#closeAttempt(run)
     const held = this.#held.get(runKey(run))
     if (held !== undefined && !held.isStopping) {
       held.isStopping = true
-      this.#opts.clock.setTimer(stopMs, () => {
+      this.#opts.clock.setTimer(stopDurationMs, () => {
         this.end(run, 'stopped')
       })
     }
@@ -136,10 +136,10 @@
   async hold({ leaseEndMs, fence, cursor, waitMs }: HoldOrder): Promise<HoldAnswer> {
     if (fence < this.#fence) return { type: 'fence', clockMs: this.clockMs }
     this.#fence = fence
-    if (leaseEndMs !== undefined) this.#renew(leaseEndMs)
+    if (leaseEndMs !== undefined) this.#renewLease(leaseEndMs)
     const { ledger, clock } = this.#opts
     for (const { number, run } of this.#finished) {
-      if (number <= cursor && number > this.#lapsedEnds) ledger.noteAcknowledged(run)
+      if (number <= cursor && number > this.#lastLapsedEnd) ledger.noteAcknowledged(run)
     }
     this.#finished = this.#finished.filter(({ number }) => number > cursor)
     if (waitMs > 0 && this.#finished.length === 0) await this.#waitForEnd(clock, waitMs)
@@ -157,23 +157,23 @@
     }
   }
 
-  /** The run ends, unless it has ended before. */
+  /** Ends the run; does nothing if it has ended before or the upstream is down. */
   end(run: RunRef, outcome: FinishedOutcome): void {
     if (!this.isUp || !this.#held.delete(runKey(run))) return
-    this.#close(run)
-    this.#ends += 1
-    this.#finished.push({ number: this.#ends, run, outcome, checkpoint: '' })
+    this.#closeAttempt(run)
+    this.#endCount += 1
+    this.#finished.push({ number: this.#endCount, run, outcome, checkpoint: '' })
     for (const wake of this.#waiters) wake()
     this.#opts.ledger.noteEnd(run, outcome)
   }
 
-  /** Everything that runs here is gone, and nothing is told of it but broken connections. */
+  /** Loses all runs without reporting their ends; callers only see broken connections. */
   crash(): void {
     this.isUp = false
     for (const wake of this.#waiters) wake()
     const lost = [...this.#held.values()]
     this.#held.clear()
-    for (const { run } of lost) this.#opts.ledger.noteWentDown(run)
+    for (const { run } of lost) this.#opts.ledger.noteLostInCrash(run)
   }
 
   holds(run: RunRef): boolean {
@@ -184,26 +184,26 @@
     const { clock, ledger, onCrashingRun } = this.#opts
     clock.setTimer(crashAfterMs, () => {
       if (!this.isUp || !this.holds(run)) return
-      ledger.noteCrashUnder(run)
+      ledger.noteCrashCaused(run)
       onCrashingRun?.()
     })
   }
 
-  #close(run: RunRef): void {
-    const closed = this.#closed.get(taskKey(run)) ?? 0
-    this.#closed.set(taskKey(run), Math.max(closed, run.attempt))
+  #closeAttempt(run: RunRef): void {
+    const closed = this.#closedAttempts.get(taskKey(run)) ?? 0
+    this.#closedAttempts.set(taskKey(run), Math.max(closed, run.attempt))
   }
 
-  #used(): number {
+  #countUsedAccelerators(): number {
     return [...this.#held.values()].reduce((sum, { needs }) => sum + needs.accelerators, 0)
   }
 
-  #renew(leaseEndMs: number): void {
+  #renewLease(leaseEndMs: number): void {
     this.#leaseEndMs = Math.max(this.#leaseEndMs, leaseEndMs)
     this.#leaseTimer?.cancel()
     const leftMs = (this.#leaseEndMs - this.clockMs) / this.#opts.clockRate
     this.#leaseTimer = this.#opts.clock.setTimer(leftMs + 1, () => {
-      this.#lapsedEnds = this.#ends
+      this.#lastLapsedEnd = this.#endCount
       for (const { run } of [...this.#held.values()]) this.end(run, 'lapsed')
     })
   }
--- a/batch/fakes/src/fleetLedger.ts
+++ b/batch/fakes/src/fleetLedger.ts
@@ -1,4 +1,4 @@
-/** What all upstreams of a test have run, and the promises that were broken on the way. */
+/** Records what all fake upstreams of a test run, and the invariants that are violated. */
 import { taskKey, type JobRequest, type Resources, type RunRef } from '@nettlespur/batch.model'
 import type { FinishedOutcome } from '@nettlespur/batch.sessions'
 import type { Clock } from '@nettlespur/core.clock'
@@ -6,36 +6,36 @@
 import type { FakeUpstream } from './fakeUpstream.js'
 
 const gangWaitMs = 3000
-/** After this many crashes a task that causes them may be started that many times more, less one. */
+/** A task that has caused this many crashes may be started at most `crashesMax - 1` more times. */
 const crashesMax = 3
 const noNeeds: Resources = { cpuMillicores: 0, memoryMiB: 0, accelerators: 0 }
 
 export interface FleetLedgerOptions {
   clock: Clock
   acceleratorsEach: number
-  /** How a run that is let work ends. */
+  /** Decides the outcome of a run that is not interrupted. */
   decideOutcome: (run: RunRef) => 'done' | 'failed'
-  /** Runs of a task that may fail before its job is given up. */
+  /** Failed runs of one task, or failed attempts of one gang, after which the job may be given up. */
   attemptsMax: number
-  /** Whether the run brings down the upstream that starts it. */
+  /** Whether the run crashes the upstream that starts it. */
   crashes?: (run: RunRef) => boolean
 }
 
 export class FleetLedger {
   readonly violations: string[] = []
-  /** Every start that was carried out. */
+  /** All starts that upstreams have carried out. */
   readonly starts: RunRef[] = []
   readonly acceleratorsEach: number
-  /** Tasks whose last end was `done` and has been acknowledged. */
+  /** Keys of tasks whose last end was `done` and has been acknowledged. */
   readonly doneTasks = new Set<string>()
   readonly #opts: FleetLedgerOptions
   readonly #jobs = new Map<string, JobRequest>()
-  readonly #holders: FakeUpstream[] = []
+  readonly #upstreams: FakeUpstream[] = []
   readonly #running = new Map<string, RunRef>()
-  /** The run of each task that ended `done` last, acknowledged or not. */
-  readonly endedDone = new Map<string, RunRef>()
-  /** Upstreams that a task has brought down. */
-  readonly crashesUnder = new Map<string, number>()
+  /** The last run of each task that ended `done`, acknowledged or not, by task key. */
+  readonly lastDoneRuns = new Map<string, RunRef>()
+  /** Number of upstream crashes that each task has caused, by task key. */
+  readonly crashesCaused = new Map<string, number>()
   readonly #reasons: GiveUpReasons
   readonly #startsAfterCrashes = new Map<string, number>()
 
@@ -49,15 +49,15 @@
     this.#jobs.set(request.jobId, request)
   }
 
-  addHolder(upstream: FakeUpstream): void {
-    this.#holders.push(upstream)
+  addUpstream(upstream: FakeUpstream): void {
+    this.#upstreams.push(upstream)
   }
 
   needsOf({ jobId, step }: RunRef): Resources {
     return this.#jobs.get(jobId)?.steps[step]?.needs ?? noNeeds
   }
 
-  /** The tasks of a job, by their keys. */
+  /** Returns the keys of a job's tasks, and whether each belongs to a gang. */
   listTasks(jobId: string): { key: string; isGang: boolean }[] {
     const steps = this.#jobs.get(jobId)?.steps ?? []
     return steps.flatMap(({ taskCount, isGang }, step) =>
@@ -68,59 +68,61 @@
     )
   }
 
-  noteStart(run: RunRef, holder: FakeUpstream): void {
+  noteStart(run: RunRef, upstream: FakeUpstream): void {
     const key = taskKey(run)
     const name = `${key}#${run.attempt}`
     this.starts.push(run)
     if (this.#running.has(key)) this.violations.push(`${name} started while another run is going`)
     if (this.doneTasks.has(key)) this.violations.push(`${name} started after it was done`)
-    if (!this.#dependenciesAreDone(run)) this.violations.push(`${name} started out of order`)
-    this.#countCrashBudget(key)
+    if (!this.#dependenciesAreDone(run))
+      this.violations.push(`${name} started before its dependencies were done`)
+    this.#checkCrashBudget(key)
     this.#running.set(key, run)
     const step = this.#stepOf(run)
     if (step?.isGang === true) this.#joinGang(run)
-    else this.#work(run, holder)
+    else this.#scheduleEnd(run, upstream)
   }
 
   noteEnd(run: RunRef, outcome: FinishedOutcome): void {
     const key = taskKey(run)
     this.#running.delete(key)
     if (outcome === 'failed') this.#reasons.noteFailure(run, this.#stepOf(run)?.isGang === true)
-    if (outcome === 'done') this.endedDone.set(key, run)
+    if (outcome === 'done') this.lastDoneRuns.set(key, run)
     if (this.#stepOf(run)?.isGang !== true || outcome === 'done') return
     for (const member of this.#membersOf(run)) this.#endEverywhere(member, 'broken')
   }
 
-  crashes(run: RunRef): boolean {
+  shouldCrash(run: RunRef): boolean {
     return this.#opts.crashes?.(run) ?? false
   }
 
-  noteCrashUnder(run: RunRef): void {
+  noteCrashCaused(run: RunRef): void {
     const key = taskKey(run)
-    this.crashesUnder.set(key, (this.crashesUnder.get(key) ?? 0) + 1)
+    this.crashesCaused.set(key, (this.crashesCaused.get(key) ?? 0) + 1)
   }
 
-  noteOverfilled(run: RunRef): void {
-    this.violations.push(`${taskKey(run)}#${run.attempt} brought its upstream over its capacity`)
+  noteOvercommitted(run: RunRef): void {
+    this.violations.push(`${taskKey(run)}#${run.attempt} exceeded the capacity of its upstream`)
   }
 
-  /** Its upstream crashed. */
-  noteWentDown(run: RunRef): void {
+  /** Records that the run was lost because its upstream crashed. */
+  noteLostInCrash(run: RunRef): void {
     this.#reasons.noteCrash(run)
     this.noteEnd(run, 'lapsed')
   }
 
-  /** Whether the job has failed, or gone down with upstreams, often enough to be given up. */
-  mayBeGivenUp(jobId: string): boolean {
-    return this.#reasons.mayBeGivenUp(jobId)
+  /** Whether tasks of the job have failed or been lost in crashes often enough for the job to be given up. */
+  canBeGivenUp(jobId: string): boolean {
+    return this.#reasons.canBeGivenUp(jobId)
   }
 
   noteAcknowledged(run: RunRef): void {
-    if (this.endedDone.get(taskKey(run))?.attempt === run.attempt) this.doneTasks.add(taskKey(run))
+    if (this.lastDoneRuns.get(taskKey(run))?.attempt === run.attempt)
+      this.doneTasks.add(taskKey(run))
   }
 
-  #countCrashBudget(key: string): void {
-    if ((this.crashesUnder.get(key) ?? 0) < crashesMax) return
+  #checkCrashBudget(key: string): void {
+    if ((this.crashesCaused.get(key) ?? 0) < crashesMax) return
     const starts = (this.#startsAfterCrashes.get(key) ?? 0) + 1
     this.#startsAfterCrashes.set(key, starts)
     if (starts === crashesMax) {
@@ -128,10 +130,10 @@
     }
   }
 
-  #work(run: RunRef, holder: FakeUpstream): void {
+  #scheduleEnd(run: RunRef, upstream: FakeUpstream): void {
     const outcome = this.#opts.decideOutcome(run)
     this.#opts.clock.setTimer(this.#stepOf(run)?.expectedRunTimeMs ?? 0, () => {
-      holder.end(run, outcome)
+      upstream.end(run, outcome)
     })
   }
 
@@ -151,7 +153,7 @@
     })
   }
 
-  /** Members of the same attempt that are running now. */
+  /** Returns the running gang members of the same attempt. */
   #membersOf({ jobId, step, attempt }: RunRef): RunRef[] {
     return [...this.#running.values()].filter(
       (other) => other.jobId === jobId && other.step === step && other.attempt === attempt,
@@ -159,8 +161,8 @@
   }
 
   #endEverywhere(run: RunRef, outcome: FinishedOutcome): void {
-    for (const holder of this.#holders) {
-      if (holder.holds(run)) holder.end(run, outcome)
+    for (const upstream of this.#upstreams) {
+      if (upstream.holds(run)) upstream.end(run, outcome)
     }
   }
 
@@ -173,7 +175,7 @@
     return (steps[step]?.dependsOn ?? []).every((number) =>
       Array.from({ length: steps[number]?.taskCount ?? 0 }, (_, index) =>
         taskKey({ jobId, step: number, index }),
-      ).every((key) => this.endedDone.has(key)),
+      ).every((key) => this.lastDoneRuns.has(key)),
     )
   }
 }
--- a/batch/scheduler/__utils__/fleet.ts
+++ b/batch/scheduler/__utils__/fleet.ts
@@ -1,18 +1,18 @@
-/** A small fleet whose rounds are decided over the real state. */
+/** A small fleet for tests: plans rounds against the real `BatchState`. */
 import type { JobRequest } from '@nettlespur/batch.model'
 import { createConfig, createUpstream } from '@nettlespur/batch.samples'
 import { BatchState, type Placement } from '@nettlespur/batch.state'
 import { addResources, noResources, planRound, type ActiveRun } from '../src/index.js'
 
-/** When all that runs is expected to end, from now. */
-const runsOnMs = 1000
+/** Expected time until each run ends. */
+const remainingRunMs = 1000
 
 export class Fleet {
   readonly state = new BatchState()
   nowMs = 0
-  /** What a stop of one of a job's runs throws away, in core-seconds; 1 where a job has none here. */
+  /** Work lost if a run of the job is stopped, in core-seconds by job id; 1 for other jobs. */
   readonly stopCosts = new Map<string, number>()
-  /** Runs, by their names, that were seen at work for long enough to be trusted. */
+  /** Names of proven runs; see `SchedulerView.isProven`. */
   readonly proven = new Set<string>()
   readonly #acceptedAtMs = new Map<string, number>()
   readonly #stopping = new Set<string>()
@@ -31,29 +31,31 @@
     this.#acceptedAtMs.set(request.jobId, this.nowMs)
   }
 
-  /** Decides once and puts the placements into the state. */
+  /** Plans one round and applies its placements to the state. */
   decide() {
     const decision = planRound({
       nowMs: this.nowMs,
       jobs: [...this.state.unsettled.values()],
       acceptedAtMs: this.#acceptedAtMs,
-      rooms: [...this.state.upstreams.values()].map(({ description }) => this.#room(description)),
+      upstreams: [...this.state.upstreams.values()].map(({ description }) =>
+        this.#toSchedulable(description),
+      ),
       runs: this.#runs(),
       isPaused: () => false,
-      isProven: (run) => this.proven.has(name(run)),
+      isProven: (run) => this.proven.has(nameRun(run)),
       guarantees: new Map([['w1', 16]]),
     })
     this.state.apply({ type: 'place-tasks', placements: decision.placements })
-    for (const { run } of decision.preemptions) this.#stopping.add(name(run))
+    for (const { run } of decision.preemptions) this.#stopping.add(nameRun(run))
     return decision
   }
 
-  /** All that runs is seen at work. */
+  /** Marks all current runs as proven. */
   prove(): void {
-    for (const { placement } of this.#runs()) this.proven.add(name(placement))
+    for (const { placement } of this.#runs()) this.proven.add(nameRun(placement))
   }
 
-  /** The upstream of the run crashes under it alone. */
+  /** Ends the run as the one blamed for a crash of its upstream. */
   crash(run: Placement): void {
     this.state.apply({ type: 'end-runs', ends: [{ ...run, outcome: 'crashed', blame: 'blamed' }] })
   }
@@ -62,18 +64,23 @@
     this.state.apply({ type: 'end-runs', ends: [{ ...run, outcome, checkpoint: '' }] })
   }
 
-  #room(description: ReturnType<typeof createUpstream>) {
+  #toSchedulable(description: ReturnType<typeof createUpstream>) {
     let used = noResources
     let stopping = noResources
     for (const run of this.state.placements.getByUpstream(description.upstreamId).values()) {
       const needs = this.state.jobs.get(run.jobId)?.request.steps[run.step]?.needs ?? noResources
       used = addResources(used, needs)
-      if (this.#stopping.has(name(run))) stopping = addResources(stopping, needs)
+      if (this.#stopping.has(nameRun(run))) stopping = addResources(stopping, needs)
     }
     const free = addResources(description.capacity, used, -1)
     const runs = [...this.state.placements.getByUpstream(description.upstreamId).values()]
-    const isQuiet = runs.every((run) => this.proven.has(name(run)))
-    return { ...description, free, soon: addResources(free, stopping), isQuiet }
+    const isSuitableForTrial = runs.every((run) => this.proven.has(nameRun(run)))
+    return {
+      ...description,
+      free,
+      freeAfterStops: addResources(free, stopping),
+      isSuitableForTrial,
+    }
   }
 
   #runs(): ActiveRun[] {
@@ -82,14 +89,14 @@
         placement,
         needs:
           this.state.jobs.get(placement.jobId)?.request.steps[placement.step]?.needs ?? noResources,
-        expectedEndMs: this.nowMs + runsOnMs,
+        expectedEndMs: this.nowMs + remainingRunMs,
         stopCostCoreSeconds: this.stopCosts.get(placement.jobId) ?? 1,
-        isStopping: this.#stopping.has(name(placement)),
+        isStopping: this.#stopping.has(nameRun(placement)),
       })),
     )
   }
 }
 
-function name({ jobId, step, index, attempt }: Placement): string {
+function nameRun({ jobId, step, index, attempt }: Placement): string {
   return `${jobId}.${step}.${index}#${attempt}`
 }
--- a/batch/scheduler/src/chooseVictims.ts
+++ b/batch/scheduler/src/chooseVictims.ts
@@ -1,53 +1,53 @@
 /**
- * Frees room for a unit by stopping runs of others. Room is freed upstream by upstream, the cheapest for each task
- * of the unit first: cheap runs that are spread over many upstreams free accelerators, but no place for a task
- * that needs several of them side by side. Members of a gang are stopped together, as one that is stopped ends
- * the rest; the room of all of them counts.
+ * Chooses runs of other jobs to preempt for a unit. Capacity is freed upstream by upstream, the one with the lowest
+ * cost per task of the unit first: stopping cheap runs spread over many upstreams frees accelerators, but no place
+ * for a task that needs several on one upstream. Members of a gang are stopped together, as stopping one ends the
+ * others; the capacity of all of them counts.
  */
 import { trackScopes, type FitScope } from './fitTracker.js'
 import { sumCost, type VictimGroup } from './listVictimGroups.js'
-import type { RoomBook } from './roomBook.js'
-import { RoomFreeing } from './roomFreeing.js'
-import { spareDearest } from './spareDearest.js'
+import type { RoundAllocations } from './roundAllocations.js'
+import { PreemptionSearch } from './preemptionSearch.js'
+import { dropUnneededVictims } from './dropUnneededVictims.js'
 import type { StartUnit } from './startUnit.js'
 import type { VictimIndex } from './victimIndex.js'
 
 export interface VictimChoice {
   readonly victims: readonly VictimGroup[]
-  readonly places: readonly string[]
+  readonly upstreamIds: readonly string[]
 }
 
 export interface ChooseVictimsOptions {
   unit: StartUnit
-  book: RoomBook
-  /** What may be stopped. */
+  allocations: RoundAllocations
+  /** Runs that may be preempted. */
   victims: VictimIndex
-  /** What may be thrown away for the unit. */
+  /** Limit of the work lost for the unit. */
   costMaxCoreSeconds: number
 }
 
-/** The cheapest choice found over the racks; undefined where stopping everything would not do. */
+/** Returns the cheapest choice over all scopes, or undefined if none frees enough capacity within the cost limit. */
 export function chooseVictims({
   unit,
-  book,
+  allocations,
   victims,
   costMaxCoreSeconds,
 }: ChooseVictimsOptions): VictimChoice | undefined {
-  const scopes = trackScopes(unit, book, ({ soon }) => soon)
-  const choices = scopes.flatMap((scope) => stopUntilFits(scope, victims) ?? [])
+  const scopes = trackScopes(unit, allocations, ({ freeAfterStops }) => freeAfterStops)
+  const choices = scopes.flatMap((scope) => chooseForScope(scope, victims) ?? [])
   const [best] = choices.sort((left, right) => sumCost(left.victims) - sumCost(right.victims))
   return best !== undefined && sumCost(best.victims) <= costMaxCoreSeconds ? best : undefined
 }
 
-/** Stops what is cheapest until the unit fits, then spares what is not needed after all. */
-function stopUntilFits(scope: FitScope, from: VictimIndex): VictimChoice | undefined {
-  const freeing = new RoomFreeing(scope, from)
-  const stopped: VictimGroup[] = []
+/** Adds the cheapest victims until the unit fits, then drops those that turn out not to be needed. */
+function chooseForScope(scope: FitScope, victimIndex: VictimIndex): VictimChoice | undefined {
+  const search = new PreemptionSearch(scope, victimIndex)
+  const chosen: VictimGroup[] = []
   while (!scope.fits) {
-    const cheapest = freeing.takeCheapest()
+    const cheapest = search.chooseCheapest()
     if (cheapest === undefined) return undefined
-    stopped.push(...cheapest)
+    chosen.push(...cheapest)
   }
-  const victims = spareDearest(scope, stopped, () => scope.fits)
-  return { victims, places: scope.choosePlaces() }
+  const victims = dropUnneededVictims(scope, chosen, () => scope.fits)
+  return { victims, upstreamIds: scope.chooseUpstreams() }
 }
--- /dev/null
+++ b/batch/scheduler/src/roundAllocations.ts
@@ -0,0 +1,165 @@
+/** Tracks the capacity allocated within one round: each decision leaves less for the next ones. */
+import type { Resources, StepSpec } from '@nettlespur/batch.model'
+import { addResources, countFitting, noResources } from './resources.js'
+import type { SchedulableUpstream } from './schedulerView.js'
+import type { StartUnit } from './startUnit.js'
+
+/** Capacity that stays free on an upstream once a gang with a reservation starts there at `fromMs`. */
+interface Reservation {
+  readonly fromMs: number
+  free: Resources
+}
+
+/** The capacity of one upstream within a round. */
+export class UpstreamAllocation {
+  readonly view: SchedulableUpstream
+  free: Resources
+  freeAfterStops: Resources
+  readonly reservations: Reservation[] = []
+  /** This round starts a run on the upstream. */
+  #hasNewRun = false
+
+  constructor(view: SchedulableUpstream) {
+    this.view = view
+    this.free = view.free
+    this.freeAfterStops = view.freeAfterStops
+  }
+
+  get upstreamId(): string {
+    return this.view.upstreamId
+  }
+
+  /** Whether a crash could be attributed to a run that starts here. */
+  get isSuitableForTrial(): boolean {
+    return !this.#hasNewRun && this.view.isSuitableForTrial
+  }
+
+  /** Prevents further starts on the upstream in this round. */
+  blockStarts(): void {
+    this.free = noResources
+    this.freeAfterStops = noResources
+  }
+
+  /** Allocates capacity for one task that ends at `endMs`. */
+  allocate(needs: Resources, endMs: number): void {
+    this.#hasNewRun = true
+    this.free = addResources(this.free, needs, -1)
+    this.freeAfterStops = addResources(this.freeAfterStops, needs, -1)
+    for (const reservation of this.reservations) {
+      if (reservation.fromMs < endMs) reservation.free = addResources(reservation.free, needs, -1)
+    }
+  }
+
+  /** Returns how many tasks that end at `endMs` fit, without delaying gangs whose reservations begin before. */
+  countFitting(needs: Resources, endMs: number): number {
+    let count = countFitting(this.free, needs)
+    for (const { fromMs, free } of this.reservations) {
+      if (fromMs < endMs) count = Math.min(count, countFitting(free, needs))
+    }
+    return count
+  }
+}
+
+export class RoundAllocations {
+  readonly nowMs: number
+  readonly upstreams: readonly UpstreamAllocation[]
+  readonly #byId: ReadonlyMap<string, UpstreamAllocation>
+
+  constructor(upstreams: readonly SchedulableUpstream[], nowMs: number) {
+    this.nowMs = nowMs
+    this.upstreams = upstreams.map((upstream) => new UpstreamAllocation(upstream))
+    this.#byId = new Map(this.upstreams.map((upstream) => [upstream.upstreamId, upstream]))
+  }
+
+  find(upstreamId: string): UpstreamAllocation | undefined {
+    return this.#byId.get(upstreamId)
+  }
+
+  /** Returns the expected end of a task of the step that starts now. */
+  estimateEndMs({ expectedRunTimeMs }: StepSpec): number {
+    return this.nowMs + expectedRunTimeMs
+  }
+
+  /** Allocates capacity for one task per entry; an upstream may occur several times. */
+  allocate(upstreamIds: readonly string[], step: StepSpec): void {
+    for (const upstreamId of upstreamIds) {
+      this.#byId.get(upstreamId)?.allocate(step.needs, this.estimateEndMs(step))
+    }
+  }
+
+  /** Prevents further starts on these upstreams in this round. */
+  blockStarts(upstreamIds: readonly string[]): void {
+    for (const upstreamId of upstreamIds) this.#byId.get(upstreamId)?.blockStarts()
+  }
+
+  /** Adds the capacity of a run that is about to be stopped to `freeAfterStops`. */
+  releaseAfterStop(upstreamId: string, needs: Resources): void {
+    const upstream = this.#byId.get(upstreamId)
+    if (upstream !== undefined)
+      upstream.freeAfterStops = addResources(upstream.freeAfterStops, needs)
+  }
+
+  /** Whether the free accelerators alone suffice for this many tasks: a cheap check before the exact one. */
+  hasEnoughAccelerators({ needs }: StepSpec, taskCount: number): boolean {
+    if (needs.accelerators === 0) return true
+    let missing = taskCount
+    for (const { free } of this.upstreams) {
+      if (free.accelerators < needs.accelerators) continue
+      missing -= Math.floor(free.accelerators / needs.accelerators)
+      if (missing <= 0) return true
+    }
+    return false
+  }
+
+  /** Returns how many of the unit's tasks the upstream can take now. */
+  countTasks(unit: StartUnit, upstream: UpstreamAllocation): number {
+    const fitting = upstream.countFitting(unit.step.needs, this.estimateEndMs(unit.step))
+    return limitTasks(unit, upstream.upstreamId, fitting)
+  }
+
+  /**
+   * Returns the upstreams on which the unit's tasks may run. Upstreams on which they have failed are included only
+   * if the others could not take the unit even when empty. A trial start gets only upstreams that are suitable for it.
+   */
+  listEligible(unit: StartUnit): UpstreamAllocation[] {
+    const { job, step, avoided, isOnTrial } = unit
+    const eligible = this.upstreams.filter(
+      ({ view }) =>
+        view.pool === job.queue.pool &&
+        (step.requiredLabel === undefined || view.labels.includes(step.requiredLabel)),
+    )
+    const untried = preferIfSufficient(unit, eligible, ({ upstreamId }) => !avoided.has(upstreamId))
+    return isOnTrial ? untried.filter(({ isSuitableForTrial }) => isSuitableForTrial) : untried
+  }
+}
+
+/** Returns the preferred upstreams if they could take the unit when empty, otherwise all. */
+function preferIfSufficient(
+  { step, waiting }: StartUnit,
+  upstreams: UpstreamAllocation[],
+  isPreferred: (upstream: UpstreamAllocation) => boolean,
+): UpstreamAllocation[] {
+  const preferred = upstreams.filter(isPreferred)
+  if (preferred.length === upstreams.length) return upstreams
+  const wanted = step.isGang ? waiting.length : 1
+  const taskCapacity = preferred.reduce((sum, upstream) => sum + countWhenEmpty(step, upstream), 0)
+  return taskCapacity >= wanted ? preferred : upstreams
+}
+
+/** Returns how many tasks of the step the upstream can take when it is empty. */
+export function countWhenEmpty(step: StepSpec, { view }: UpstreamAllocation): number {
+  return Math.min(countFitting(view.capacity, step.needs), step.tasksPerUpstreamMax ?? Infinity)
+}
+
+/** Returns how many of the unit's tasks fit on the upstream if this much of it is free. */
+export function countTasksIn(unit: StartUnit, upstreamId: string, free: Resources): number {
+  return limitTasks(unit, upstreamId, countFitting(free, unit.step.needs))
+}
+
+/** Limits a count to the waiting tasks and to the step's maximum per upstream. */
+function limitTasks({ step, record, waiting }: StartUnit, upstreamId: string, fitting: number) {
+  const count = Math.min(fitting, waiting.length)
+  if (step.tasksPerUpstreamMax === undefined || count === 0) return count
+  const placedThere = record.tasks.filter((task) => task.upstreamId === upstreamId).length
+  return Math.min(count, Math.max(0, step.tasksPerUpstreamMax - placedThere))
+}
--- a/batch/scheduler/src/victimIndex.ts
+++ b/batch/scheduler/src/victimIndex.ts
@@ -1,6 +1,6 @@
 /**
- * What may be stopped, by the upstreams that it would free. Made once for all units and racks of a round that look: each
- * of these only goes over the upstreams of its own.
+ * Index of victim groups by the upstreams on which they run. It is built once and shared by all searches of a round,
+ * so that each search visits only the upstreams of its scope.
  */
 import type { VictimGroup } from './listVictimGroups.js'
 
@@ -10,26 +10,26 @@
   readonly #groups: readonly VictimGroup[]
   readonly #byUpstream = new Map<string, VictimGroup[]>()
 
-  /** The groups come with the cheapest for the room it gives first, and stay in that order. */
+  /** `groups` is sorted by cost per accelerator, cheapest first; the order is kept. */
   constructor(groups: readonly VictimGroup[]) {
     this.#groups = groups
     for (const group of groups) {
-      for (const upstreamId of upstreamsOf(group)) this.#add(upstreamId, group)
+      for (const upstreamId of listUpstreamIds(group)) this.#add(upstreamId, group)
     }
   }
 
-  /** Upstreams on which something may be stopped. */
+  /** Upstreams with at least one run that may be preempted. */
   get upstreamIds(): string[] {
     return [...this.#byUpstream.keys()]
   }
 
-  on(upstreamId: string): readonly VictimGroup[] {
+  listOn(upstreamId: string): readonly VictimGroup[] {
     return this.#byUpstream.get(upstreamId) ?? none
   }
 
-  without(stopped: readonly VictimGroup[]): VictimIndex {
-    const gone = new Set(stopped)
-    return new VictimIndex(this.#groups.filter((group) => !gone.has(group)))
+  without(removed: readonly VictimGroup[]): VictimIndex {
+    const removedGroups = new Set(removed)
+    return new VictimIndex(this.#groups.filter((group) => !removedGroups.has(group)))
   }
 
   #add(upstreamId: string, group: VictimGroup): void {
@@ -39,7 +39,7 @@
   }
 }
 
-/** Each once, however many runs of the group it holds. */
-export function upstreamsOf({ runs }: VictimGroup): Set<string> {
+/** Returns each upstream with a run of the group once. */
+export function listUpstreamIds({ runs }: VictimGroup): Set<string> {
   return new Set(runs.map(({ upstreamId }) => upstreamId))
 }
