--- a/bench/placement/src/declaredBackfillPolicy.ts
+++ b/bench/placement/src/declaredBackfillPolicy.ts
@@ -8,7 +8,7 @@
   fitGang,
   FreeChooser,
   type Block,
-  type UpstreamRoom,
+  type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
 import { BaselinePolicy } from './baselinePolicy.js'
 
@@ -49,14 +49,14 @@
     this.#kept = kept
   }
 
-  override isUsable(room: UpstreamRoom, index: number): boolean {
+  override isUsable(room: UpstreamCapacity, index: number): boolean {
     return super.isUsable(room, index) && !this.#kept.has(`${room.upstreamId}/${index}`)
   }
 }
 
 /** Lets running gangs end one after the other, as declared, until the job fits. */
 function findShadow(map: ClusterMap, job: WaitingJob, view: PlacementView): Shadow | undefined {
-  const gangs = new Set(map.rooms.flatMap((room) => room.holders))
+  const gangs = new Set(map.upstreams.flatMap((room) => room.holders))
   const left = [...gangs]
     .filter((gang) => gang !== undefined)
     .map((gang) => {
--- a/placement/engine/src/clearChooser.ts
+++ b/placement/engine/src/clearChooser.ts
@@ -2,11 +2,11 @@
 import { measureSpare } from '@nettlespur/placement.plan'
 import {
   BlockChooser,
-  countAffordable,
-  takeShare,
+  countByCpuAndMemory,
+  computeDemandShare,
   type Demand,
   type RunningGang,
-  type UpstreamRoom,
+  type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
 import { measureLostWork } from './measureLostWork.js'
 import type { WaitingJob } from './placementView.js'
@@ -30,39 +30,39 @@
     this.#opts = opts
   }
 
-  isUsable(room: UpstreamRoom, index: number): boolean {
+  isUsable(room: UpstreamCapacity, index: number): boolean {
     const { job, claim, rules } = this.#opts
     if (!rules.isOpenTo(room, index, job, claim)) return false
     const holder = room.holders[index]
     return holder === undefined || rules.mayStop(holder, job, claim)
   }
 
-  rate(room: UpstreamRoom, from: number, count: number): number {
+  computeCost(room: UpstreamCapacity, from: number, count: number): number {
     const victims = new Set(room.holders.slice(from, from + count))
     let rate = room.freeCount
     for (const victim of victims) if (victim !== undefined) rate += this.#measureLoss(victim)
     return rate
   }
 
-  override rateRack(): number {
+  override computeRackCost(): number {
     return 0
   }
 
   /** With the processors and memory of all that may be stopped there. */
-  override countAffordable(room: UpstreamRoom, demand: Demand): number {
+  override countByCpuAndMemory(room: UpstreamCapacity, demand: Demand): number {
     const { job, claim, rules } = this.#opts
     let cpuCores = room.freeCpuCores
     let memoryBytes = room.freeMemoryBytes
     for (const holder of room.holders) {
       if (holder === undefined || !rules.mayStop(holder, job, claim)) continue
-      const share = takeShare(holder, 1)
+      const share = computeDemandShare(holder, 1)
       cpuCores += share.cpuCores
       memoryBytes += share.memoryBytes
     }
-    const byFreed = countAffordable(demand, cpuCores, memoryBytes)
+    const byFreed = countByCpuAndMemory(demand, cpuCores, memoryBytes)
     if (job.stoppability !== 'never') return byFreed
     const spare = measureSpare(room, job.workspace)
-    return Math.min(byFreed, countAffordable(demand, spare.cpuCores, spare.memoryBytes))
+    return Math.min(byFreed, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
   #measureLoss(victim: RunningGang): number {
--- a/placement/engine/src/dominantShares.ts
+++ b/placement/engine/src/dominantShares.ts
@@ -20,8 +20,8 @@
     this.#weights = new Map(contracts.map(({ workspace, weight }) => [workspace, weight]))
     this.#totals = {
       accelerators: map.size,
-      cpuCores: map.rooms.reduce((sum, room) => sum + room.view.cpuCores, 0),
-      memoryBytes: map.rooms.reduce((sum, room) => sum + room.view.memoryBytes, 0),
+      cpuCores: map.upstreams.reduce((sum, room) => sum + room.view.cpuCores, 0),
+      memoryBytes: map.upstreams.reduce((sum, room) => sum + room.view.memoryBytes, 0),
     }
   }
 
--- a/placement/engine/src/formingBlocks.ts
+++ b/placement/engine/src/formingBlocks.ts
@@ -37,7 +37,7 @@
     const former = this.#byJobId
     this.#byJobId = new Map()
     if (former.size === 0) return
-    for (const room of map.rooms) room.formingFor.fill(undefined)
+    for (const room of map.upstreams) room.formingFor.fill(undefined)
     for (const job of waiting) {
       const blocks = former.get(job.jobId)
       if (blocks === undefined || job.heldBack !== undefined) continue
--- a/placement/engine/src/formingChooser.ts
+++ b/placement/engine/src/formingChooser.ts
@@ -4,9 +4,9 @@
  */
 import {
   BlockChooser,
-  countAffordable,
+  countByCpuAndMemory,
   type Demand,
-  type UpstreamRoom,
+  type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
 import { expectRemainingMs, measureLostWork } from './measureLostWork.js'
 import type { WaitingJob } from './placementView.js'
@@ -26,12 +26,12 @@
     this.#opts = opts
   }
 
-  isUsable(room: UpstreamRoom, index: number): boolean {
+  isUsable(room: UpstreamCapacity, index: number): boolean {
     const { job, rules } = this.#opts
     return rules.isOpenTo(room, index, job, 'forming')
   }
 
-  rate(room: UpstreamRoom, from: number, count: number): number {
+  computeCost(room: UpstreamCapacity, from: number, count: number): number {
     const { job, rules, nowMs } = this.#opts
     let rate = 0
     for (const holder of new Set(room.holders.slice(from, from + count))) {
@@ -43,12 +43,12 @@
     return rate
   }
 
-  override rateRack(): number {
+  override computeRackCost(): number {
     return 0
   }
 
   /** As if nothing else ran there. */
-  override countAffordable(room: UpstreamRoom, demand: Demand): number {
-    return countAffordable(demand, room.view.cpuCores, room.view.memoryBytes)
+  override countByCpuAndMemory(room: UpstreamCapacity, demand: Demand): number {
+    return countByCpuAndMemory(demand, room.view.cpuCores, room.view.memoryBytes)
   }
 }
--- a/placement/engine/src/jobScreen.ts
+++ b/placement/engine/src/jobScreen.ts
@@ -25,7 +25,7 @@
 
   constructor(round: PlacementRound) {
     this.#round = round
-    this.#largestUpstream = round.map.largestUpstream
+    this.#largestUpstream = round.map.largestUpstreamSize
     this.#guaranteedCounts = countGuaranteed(round)
   }
 
--- a/placement/engine/src/placementPolicy.ts
+++ b/placement/engine/src/placementPolicy.ts
@@ -4,7 +4,7 @@
  */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import { emptyPlan, type ReservationPlan } from '@nettlespur/placement.plan'
-import { AnyChooser, ClusterMap, fitGang, type Demand } from '@nettlespur/placement.topology'
+import { FirstFitChooser, ClusterMap, fitGang, type Demand } from '@nettlespur/placement.topology'
 import type { PlacementDecision } from './placementDecision.js'
 import type { PlacementView } from './placementView.js'
 
@@ -30,5 +30,5 @@
 }
 
 export function fitsOnEmpty(map: ClusterMap, demand: Demand): boolean {
-  return fitGang(map, demand, new AnyChooser()) !== undefined
+  return fitGang(map, demand, new FirstFitChooser()) !== undefined
 }
--- a/placement/engine/src/placementRound.ts
+++ b/placement/engine/src/placementRound.ts
@@ -7,7 +7,7 @@
 import {
   ClusterMap,
   fitGang,
-  takeShare,
+  computeDemandShare,
   type Block,
   type RunningGang,
 } from '@nettlespur/placement.topology'
@@ -60,7 +60,7 @@
     const protectedGangs = new Set(view.running.filter((gang) => this.#isWithinGuarantee(gang)))
     const [placedNow, stoppedNow] = [this.#placedNow, this.#stoppedNow]
     this.rules = new VictimRules({
-      largestUpstream: this.map.largestUpstream,
+      largestUpstream: this.map.largestUpstreamSize,
       protectedGangs,
       placedNow,
       stoppedNow,
@@ -195,14 +195,14 @@
     const room = this.map.find(block.upstreamId)
     if (room === undefined) return false
     const { rules } = this
-    const need = takeShare(job, block.acceleratorIndexes.length)
+    const need = computeDemandShare(job, block.acceleratorIndexes.length)
     const candidates = new Set(room.holders.filter((holder) => holder !== undefined))
     let { freeCpuCores, freeMemoryBytes } = room
     const add = (gang: RunningGang): void => {
       candidates.delete(gang)
       victims.add(gang)
       const count = room.holders.filter((holder) => holder === gang).length
-      const { cpuCores, memoryBytes } = takeShare(gang, count)
+      const { cpuCores, memoryBytes } = computeDemandShare(gang, count)
       freeCpuCores += cpuCores
       freeMemoryBytes += memoryBytes
     }
--- a/placement/engine/src/startChooser.ts
+++ b/placement/engine/src/startChooser.ts
@@ -4,10 +4,10 @@
  */
 import { isUnstoppable, measureSpare } from '@nettlespur/placement.plan'
 import {
-  countAffordable,
+  countByCpuAndMemory,
   FreeChooser,
   type Demand,
-  type UpstreamRoom,
+  type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
 import type { WaitingJob } from './placementView.js'
 
@@ -35,7 +35,7 @@
     this.#opts = opts
   }
 
-  override isUsable(room: UpstreamRoom, index: number): boolean {
+  override isUsable(room: UpstreamCapacity, index: number): boolean {
     if (!super.isUsable(room, index)) return false
     const { job, avoidsReserved, takesReserved } = this.#opts
     if (job.avoidedUpstreamIds?.has(room.upstreamId) === true) return false
@@ -49,15 +49,15 @@
     return !formsForOther || this.#opts.mayBackfill
   }
 
-  override countUsableMax(room: UpstreamRoom): number {
+  override countUsableMax(room: UpstreamCapacity): number {
     const isAvoided = this.#opts.job.avoidedUpstreamIds?.has(room.upstreamId) === true
     return isAvoided ? 0 : super.countUsableMax(room)
   }
 
-  override rate(room: UpstreamRoom, from: number, count: number): number {
+  override computeCost(room: UpstreamCapacity, from: number, count: number): number {
     const { job, ownReservedCost = 0 } = this.#opts
     let rate =
-      super.rate(room, from, count) -
+      super.computeCost(room, from, count) -
       this.#countCompany(room) *
         (this.#opts.job.stoppability === 'never' ? togetherGain : companyGain)
     for (let index = from; index < from + count; index += 1) {
@@ -68,16 +68,16 @@
     return rate
   }
 
-  override countAffordable(room: UpstreamRoom, demand: Demand): number {
-    const byFree = super.countAffordable(room, demand)
+  override countByCpuAndMemory(room: UpstreamCapacity, demand: Demand): number {
+    const byFree = super.countByCpuAndMemory(room, demand)
     const { job } = this.#opts
     if (job.stoppability !== 'never') return byFree
     const spare = measureSpare(room, job.workspace)
-    return Math.min(byFree, countAffordable(demand, spare.cpuCores, spare.memoryBytes))
+    return Math.min(byFree, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
   /** Work that cannot be stopped is kept together, away from what is to be reclaimed. */
-  #countCompany(room: UpstreamRoom): number {
+  #countCompany(room: UpstreamCapacity): number {
     const keepsTogether = this.#opts.job.stoppability === 'never'
     let count = 0
     for (const holder of room.holders) {
--- a/placement/engine/src/victimRules.ts
+++ b/placement/engine/src/victimRules.ts
@@ -1,5 +1,5 @@
 /** Which running gangs may be stopped for which waiting job. */
-import type { RunningGang, UpstreamRoom } from '@nettlespur/placement.topology'
+import type { RunningGang, UpstreamCapacity } from '@nettlespur/placement.topology'
 import type { WaitingJob } from './placementView.js'
 
 /** Why a job may reclaim accelerators. */
@@ -56,7 +56,7 @@
   }
 
   /** Whether `job` may hold this accelerator once its holder is gone. */
-  isOpenTo(room: UpstreamRoom, index: number, job: WaitingJob, claim: Claim): boolean {
+  isOpenTo(room: UpstreamCapacity, index: number, job: WaitingJob, claim: Claim): boolean {
     if (job.avoidedUpstreamIds?.has(room.upstreamId) === true) return false
     const promisedTo = room.promisedTo[index]
     if (promisedTo !== undefined && promisedTo !== job.jobId) return false
--- a/placement/plan/src/measureSpare.ts
+++ b/placement/plan/src/measureSpare.ts
@@ -2,7 +2,11 @@
  * A reserved accelerator keeps its even share of its upstream's processors and memory. What work that
  * cannot be stopped may still use is what remains after these shares.
  */
-import { takeShare, type RunningGang, type UpstreamRoom } from '@nettlespur/placement.topology'
+import {
+  computeDemandShare,
+  type RunningGang,
+  type UpstreamCapacity,
+} from '@nettlespur/placement.topology'
 
 export interface Spare {
   readonly cpuCores: number
@@ -16,7 +20,7 @@
 }
 
 /** Below zero where shares are overdrawn. Counts what `workspace` has reserved here as its own to use. */
-export function measureSpare(room: UpstreamRoom, workspace: string): Spare {
+export function measureSpare(room: UpstreamCapacity, workspace: string): Spare {
   const usages = collectUsages(room)
   const { view, size } = room
   const spare = { cpuCores: view.cpuCores, memoryBytes: view.memoryBytes }
@@ -29,7 +33,7 @@
 }
 
 /** Whether shares stay covered once `count` more accelerators here are reserved for `workspace`. */
-export function hasShareFor(room: UpstreamRoom, workspace: string, count: number): boolean {
+export function hasShareFor(room: UpstreamCapacity, workspace: string, count: number): boolean {
   const usages = collectUsages(room)
   openUsage(usages, workspace).reservedCount += count
   const { view, size } = room
@@ -47,7 +51,7 @@
 const tolerance = 1e-6
 
 /** What each workspace has reserved, and what its work that cannot be stopped uses. */
-function collectUsages(room: UpstreamRoom): Map<string, Usage> {
+function collectUsages(room: UpstreamCapacity): Map<string, Usage> {
   const usages = new Map<string, Usage>()
   for (let index = 0; index < room.size; index += 1) {
     const reservedFor = room.reservedFor[index]
@@ -60,7 +64,7 @@
 
 function addMember(usages: Map<string, Usage>, holder: RunningGang): void {
   const usage = openUsage(usages, holder.workspace)
-  const { cpuCores, memoryBytes } = takeShare(holder, 1)
+  const { cpuCores, memoryBytes } = computeDemandShare(holder, 1)
   usage.cpuCores += cpuCores
   usage.memoryBytes += memoryBytes
 }
--- a/placement/plan/src/reservationChooser.ts
+++ b/placement/plan/src/reservationChooser.ts
@@ -3,7 +3,7 @@
   BlockChooser,
   type ClusterMap,
   type Demand,
-  type UpstreamRoom,
+  type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
 import { hasShareFor, isUnstoppable } from './measureSpare.js'
 
@@ -15,24 +15,24 @@
 
 export class ReservationChooser extends BlockChooser {
   readonly #workspace: string
-  readonly #rackRates = new Map<UpstreamRoom, number>()
+  readonly #rackRates = new Map<UpstreamCapacity, number>()
 
   constructor(map: ClusterMap, workspace: string) {
     super()
     this.#workspace = workspace
     for (const rack of map.racks) {
-      const rate = this.rateRack(rack)
+      const rate = this.computeRackCost(rack)
       for (const room of rack) this.#rackRates.set(room, rate)
     }
   }
 
-  isUsable(room: UpstreamRoom, index: number): boolean {
+  isUsable(room: UpstreamCapacity, index: number): boolean {
     if (room.reservedFor[index] !== undefined || room.promisedTo[index] !== undefined) return false
     const holder = room.holders[index]
     return holder === undefined || holder.workspace === this.#workspace || !isUnstoppable(holder)
   }
 
-  rate(room: UpstreamRoom, from: number, count: number): number {
+  computeCost(room: UpstreamCapacity, from: number, count: number): number {
     if (!hasShareFor(room, this.#workspace, count)) return Number.POSITIVE_INFINITY
     let rate = countUnreserved(room) + this.#rateOfRack(room)
     for (let index = from; index < from + count; index += 1) {
@@ -45,23 +45,23 @@
   }
 
   /** Racks that keep something already come first, so that others stay open to large gangs. */
-  override rateRack(rack: readonly UpstreamRoom[]): number {
+  override computeRackCost(rack: readonly UpstreamCapacity[]): number {
     return rack.reduce((sum, room) => sum + countUnreserved(room), 0)
   }
 
   /** Processors and memory are kept by even shares, whatever stoppable work uses now. */
-  override countAffordable(room: UpstreamRoom, { gang }: Demand): number {
+  override countByCpuAndMemory(room: UpstreamCapacity, { gang }: Demand): number {
     let count = Math.min(room.size, gang.accelerators)
     while (count > 0 && !hasShareFor(room, this.#workspace, count)) count -= 1
     return count
   }
 
-  #rateOfRack(room: UpstreamRoom): number {
+  #rateOfRack(room: UpstreamCapacity): number {
     return (this.#rackRates.get(room) ?? 0) * rackWeight
   }
 }
 
 /** Reservations are packed together, so that whole upstreams stay without any. */
-function countUnreserved(room: UpstreamRoom): number {
+function countUnreserved(room: UpstreamCapacity): number {
   return room.reservedFor.filter((workspace) => workspace === undefined).length
 }
--- a/placement/plan/src/reservationPlanner.ts
+++ b/placement/plan/src/reservationPlanner.ts
@@ -168,7 +168,7 @@
   }
 
   #unmarkAll(map: ClusterMap): void {
-    for (const room of map.rooms) room.reservedFor.fill(undefined)
+    for (const room of map.upstreams) room.reservedFor.fill(undefined)
     this.#byId = new Map()
   }
 }
@@ -230,7 +230,7 @@
 
 function listGangs(map: ClusterMap): Set<RunningGang> {
   const gangs = new Set<RunningGang>()
-  for (const room of map.rooms) {
+  for (const room of map.upstreams) {
     for (const holder of room.holders) if (holder !== undefined) gangs.add(holder)
   }
   return gangs
--- a/placement/topology/src/blockChooser.ts
+++ b/placement/topology/src/blockChooser.ts
@@ -1,23 +1,23 @@
 /** Which accelerators a search may take, and which of the blocks it finds is best. */
 import type { Demand } from './demand.js'
-import type { UpstreamRoom } from './upstreamRoom.js'
+import type { UpstreamCapacity } from './upstreamCapacity.js'
 
 export abstract class BlockChooser {
-  abstract isUsable(room: UpstreamRoom, index: number): boolean
+  abstract isUsable(upstream: UpstreamCapacity, index: number): boolean
 
   /** Lower is better; infinite where the block must not be taken. All its accelerators are usable. */
-  abstract rate(room: UpstreamRoom, from: number, count: number): number
+  abstract computeCost(upstream: UpstreamCapacity, from: number, count: number): number
 
   /** How many accelerators of this upstream its processors and memory suffice for. */
-  countAffordable(room: UpstreamRoom, demand: Demand): number {
-    return room.countAffordable(demand)
+  countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
+    return upstream.countByCpuAndMemory(demand)
   }
 
   /** A quick upper bound for the accelerators of this upstream that are usable. */
-  countUsableMax(room: UpstreamRoom): number {
-    return room.size
+  countUsableMax(upstream: UpstreamCapacity): number {
+    return upstream.size
   }
 
   /** Added to the rates of the blocks a gang takes in this rack. */
-  abstract rateRack(rack: readonly UpstreamRoom[]): number
+  abstract computeRackCost(rack: readonly UpstreamCapacity[]): number
 }
--- a/placement/topology/src/demand.ts
+++ b/placement/topology/src/demand.ts
@@ -22,7 +22,7 @@
 }
 
 /** The part of the processors and memory that falls to `count` accelerators of the gang. */
-export function takeShare(
+export function computeDemandShare(
   demand: Demand,
   count: number,
 ): { cpuCores: number; memoryBytes: number } {
--- a/placement/topology/src/anyChooser.ts
+++ b/placement/topology/src/firstFitChooser.ts
@@ -1,12 +1,12 @@
 /** Takes the first free accelerators there are: enough where it only matters whether a gang fits. */
 import { FreeChooser } from './freeChooser.js'
 
-export class AnyChooser extends FreeChooser {
-  override rate(): number {
+export class FirstFitChooser extends FreeChooser {
+  override computeCost(): number {
     return 0
   }
 
-  override rateRack(): number {
+  override computeRackCost(): number {
     return 0
   }
 }
--- a/placement/topology/src/fitBlock.ts
+++ b/placement/topology/src/fitBlock.ts
@@ -4,35 +4,35 @@
  */
 import type { BlockChooser } from './blockChooser.js'
 import type { Demand } from './demand.js'
-import type { UpstreamRoom } from './upstreamRoom.js'
+import type { UpstreamCapacity } from './upstreamCapacity.js'
 
 const alignedSizes: ReadonlySet<number> = new Set([1, 2, 4, 8])
 
-export interface RatedBlock {
-  readonly room: UpstreamRoom
+export interface CostedBlock {
+  readonly upstream: UpstreamCapacity
   readonly from: number
   readonly count: number
-  readonly rate: number
+  readonly cost: number
 }
 
 /** The best block of `count` accelerators on any of these upstreams; the first of equals. */
 export function fitBlock(
-  rooms: readonly UpstreamRoom[],
+  upstreams: readonly UpstreamCapacity[],
   demand: Demand,
   count: number,
   chooser: BlockChooser,
-): RatedBlock | undefined {
-  let best: RatedBlock | undefined
-  for (const room of rooms) {
-    if (chooser.countUsableMax(room) < count) continue
+): CostedBlock | undefined {
+  let best: CostedBlock | undefined
+  for (const upstream of upstreams) {
+    if (chooser.countUsableMax(upstream) < count) continue
     const step = isAligned(count) ? count : 1
-    let isAffordable: boolean | undefined
-    for (let from = 0; from + count <= room.size; from += step) {
-      if (!isUsableRun(room, from, count, chooser)) continue
-      isAffordable ??= chooser.countAffordable(room, demand) >= count
-      if (!isAffordable) break
-      const rate = chooser.rate(room, from, count)
-      if (rate < (best?.rate ?? Number.POSITIVE_INFINITY)) best = { room, from, count, rate }
+    let hasCpuAndMemory: boolean | undefined
+    for (let from = 0; from + count <= upstream.size; from += step) {
+      if (!isUsableRun(upstream, from, count, chooser)) continue
+      hasCpuAndMemory ??= chooser.countByCpuAndMemory(upstream, demand) >= count
+      if (!hasCpuAndMemory) break
+      const cost = chooser.computeCost(upstream, from, count)
+      if (cost < (best?.cost ?? Number.POSITIVE_INFINITY)) best = { upstream, from, count, cost }
     }
   }
   return best
@@ -44,14 +44,14 @@
 
 /** Whether all of these accelerators exist and are usable. */
 export function isUsableRun(
-  room: UpstreamRoom,
+  upstream: UpstreamCapacity,
   from: number,
   count: number,
   chooser: BlockChooser,
 ): boolean {
-  if (from < 0 || from + count > room.size) return false
+  if (from < 0 || from + count > upstream.size) return false
   for (let index = from; index < from + count; index += 1) {
-    if (!chooser.isUsable(room, index)) return false
+    if (!chooser.isUsable(upstream, index)) return false
   }
   return true
 }
--- a/placement/topology/src/fitGang.ts
+++ b/placement/topology/src/fitGang.ts
@@ -3,8 +3,8 @@
 import type { BlockChooser } from './blockChooser.js'
 import type { ClusterMap } from './clusterMap.js'
 import type { Demand } from './demand.js'
-import { fitBlock, isUsableRun, type RatedBlock } from './fitBlock.js'
-import type { UpstreamRoom } from './upstreamRoom.js'
+import { fitBlock, isUsableRun, type CostedBlock } from './fitBlock.js'
+import type { UpstreamCapacity } from './upstreamCapacity.js'
 
 /** The blocks of the gang, one for each upstream; undefined where it does not fit. */
 export function fitGang(
@@ -13,7 +13,7 @@
   chooser: BlockChooser,
 ): Block[] | undefined {
   const { accelerators, adjacency } = demand.gang
-  const single = fitBlock(map.rooms, demand, accelerators, chooser)
+  const single = fitBlock(map.upstreams, demand, accelerators, chooser)
   if (single !== undefined) return [toBlock(single)]
   switch (adjacency) {
     case 'upstream':
@@ -21,75 +21,79 @@
     case 'rack':
       return fitRack(map, demand, chooser)?.map(toBlock)
     case 'none':
-      return gather(map.rooms, demand, chooser)
+      return fitAnywhere(map.upstreams, demand, chooser)
   }
 }
 
 /** Whole upstreams of one rack, and a block of a further one for the rest. */
-function fitRack(map: ClusterMap, demand: Demand, chooser: BlockChooser): RatedBlock[] | undefined {
-  let best: RatedBlock[] | undefined
-  let bestRate = Number.POSITIVE_INFINITY
+function fitRack(
+  map: ClusterMap,
+  demand: Demand,
+  chooser: BlockChooser,
+): CostedBlock[] | undefined {
+  let best: CostedBlock[] | undefined
+  let bestCost = Number.POSITIVE_INFINITY
   for (const rack of map.racks) {
     const blocks = fitWithinRack(rack, demand, chooser)
     if (blocks === undefined) continue
-    const rate = blocks.reduce((sum, block) => sum + block.rate, chooser.rateRack(rack))
-    if (rate >= bestRate) continue
+    const cost = blocks.reduce((sum, block) => sum + block.cost, chooser.computeRackCost(rack))
+    if (cost >= bestCost) continue
     best = blocks
-    bestRate = rate
+    bestCost = cost
   }
   return best
 }
 
 function fitWithinRack(
-  rack: readonly UpstreamRoom[],
+  rack: readonly UpstreamCapacity[],
   demand: Demand,
   chooser: BlockChooser,
-): RatedBlock[] | undefined {
-  const blocks: RatedBlock[] = []
-  let left = demand.gang.accelerators
-  for (const whole of listWhole(rack, demand, chooser)) {
-    if (whole.count > left) continue
+): CostedBlock[] | undefined {
+  const blocks: CostedBlock[] = []
+  let remaining = demand.gang.accelerators
+  for (const whole of listWholeUpstreams(rack, demand, chooser)) {
+    if (whole.count > remaining) continue
     blocks.push(whole)
-    left -= whole.count
+    remaining -= whole.count
   }
-  if (left === 0) return blocks
+  if (remaining === 0) return blocks
   if (blocks.length === 0) return undefined
-  const used = new Set(blocks.map((block) => block.room))
-  const others = rack.filter((room) => !used.has(room))
-  const rest = fitBlock(others, demand, left, chooser)
+  const used = new Set(blocks.map((block) => block.upstream))
+  const others = rack.filter((upstream) => !used.has(upstream))
+  const rest = fitBlock(others, demand, remaining, chooser)
   return rest === undefined ? undefined : [...blocks, rest]
 }
 
 /** Upstreams that are usable as a whole, the largest first, of equal ones the best. */
-function listWhole(
-  rack: readonly UpstreamRoom[],
+function listWholeUpstreams(
+  rack: readonly UpstreamCapacity[],
   demand: Demand,
   chooser: BlockChooser,
-): RatedBlock[] {
-  const wholes: RatedBlock[] = []
-  for (const room of rack) {
-    const count = room.size
-    if (count === 0 || chooser.countUsableMax(room) < count) continue
-    if (!isUsableRun(room, 0, count, chooser)) continue
-    if (chooser.countAffordable(room, demand) < count) continue
-    const rate = chooser.rate(room, 0, count)
-    if (Number.isFinite(rate)) wholes.push({ room, from: 0, count, rate })
+): CostedBlock[] {
+  const wholes: CostedBlock[] = []
+  for (const upstream of rack) {
+    const count = upstream.size
+    if (count === 0 || chooser.countUsableMax(upstream) < count) continue
+    if (!isUsableRun(upstream, 0, count, chooser)) continue
+    if (chooser.countByCpuAndMemory(upstream, demand) < count) continue
+    const cost = chooser.computeCost(upstream, 0, count)
+    if (Number.isFinite(cost)) wholes.push({ upstream, from: 0, count, cost })
   }
-  return wholes.sort((left, right) => right.count - left.count || left.rate - right.rate)
+  return wholes.sort((left, right) => right.count - left.count || left.cost - right.cost)
 }
 
 /** Any accelerators, the best rated first, from as few upstreams as that allows. */
-function gather(
-  rooms: readonly UpstreamRoom[],
+function fitAnywhere(
+  upstreams: readonly UpstreamCapacity[],
   demand: Demand,
   chooser: BlockChooser,
 ): Block[] | undefined {
-  const singles = rooms.flatMap((room) => listSingles(room, demand, chooser))
-  singles.sort((left, right) => left.rate - right.rate)
+  const singles = upstreams.flatMap((upstream) => listSingles(upstream, demand, chooser))
+  singles.sort((left, right) => left.cost - right.cost)
   const blocks = new Map<string, number[]>()
-  for (const { room, from } of singles.slice(0, demand.gang.accelerators)) {
-    const indexes = blocks.get(room.upstreamId)
-    if (indexes === undefined) blocks.set(room.upstreamId, [from])
+  for (const { upstream, from } of singles.slice(0, demand.gang.accelerators)) {
+    const indexes = blocks.get(upstream.upstreamId)
+    if (indexes === undefined) blocks.set(upstream.upstreamId, [from])
     else indexes.push(from)
   }
   if (singles.length < demand.gang.accelerators) return undefined
@@ -98,18 +102,22 @@
   })
 }
 
-function listSingles(room: UpstreamRoom, demand: Demand, chooser: BlockChooser): RatedBlock[] {
-  const singles: RatedBlock[] = []
-  for (let from = 0; from < room.size; from += 1) {
-    if (!chooser.isUsable(room, from)) continue
-    const rate = chooser.rate(room, from, 1)
-    if (Number.isFinite(rate)) singles.push({ room, from, count: 1, rate })
+function listSingles(
+  upstream: UpstreamCapacity,
+  demand: Demand,
+  chooser: BlockChooser,
+): CostedBlock[] {
+  const singles: CostedBlock[] = []
+  for (let from = 0; from < upstream.size; from += 1) {
+    if (!chooser.isUsable(upstream, from)) continue
+    const cost = chooser.computeCost(upstream, from, 1)
+    if (Number.isFinite(cost)) singles.push({ upstream, from, count: 1, cost })
   }
-  singles.sort((left, right) => left.rate - right.rate)
-  return singles.slice(0, Math.max(0, chooser.countAffordable(room, demand)))
+  singles.sort((left, right) => left.cost - right.cost)
+  return singles.slice(0, Math.max(0, chooser.countByCpuAndMemory(upstream, demand)))
 }
 
-function toBlock({ room, from, count }: RatedBlock): Block {
+function toBlock({ upstream, from, count }: CostedBlock): Block {
   const acceleratorIndexes = Array.from({ length: count }, (_, offset) => from + offset)
-  return { upstreamId: room.upstreamId, acceleratorIndexes }
+  return { upstreamId: upstream.upstreamId, acceleratorIndexes }
 }
--- a/placement/topology/src/freeChooser.ts
+++ b/placement/topology/src/freeChooser.ts
@@ -1,26 +1,28 @@
 /** Takes any free accelerator, where it breaks up the least. */
 import { BlockChooser } from './blockChooser.js'
-import { measureSurroundings } from './measureSurroundings.js'
-import type { UpstreamRoom } from './upstreamRoom.js'
+import { measureEnclosingBlock } from './measureEnclosingBlock.js'
+import type { UpstreamCapacity } from './upstreamCapacity.js'
 
 /** Weighs the size of the surroundings above the free accelerators of the upstream. */
-const surroundingsWeight = 1024
+const enclosingBlockWeight = 1024
 
 export class FreeChooser extends BlockChooser {
-  isUsable(room: UpstreamRoom, index: number): boolean {
-    return room.holders[index] === undefined && room.promisedTo[index] === undefined
+  isUsable(upstream: UpstreamCapacity, index: number): boolean {
+    return upstream.holders[index] === undefined && upstream.promisedTo[index] === undefined
   }
 
-  rate(room: UpstreamRoom, from: number, count: number): number {
-    return measureSurroundings(room, from, count, this) * surroundingsWeight + room.freeCount
+  computeCost(upstream: UpstreamCapacity, from: number, count: number): number {
+    return (
+      measureEnclosingBlock(upstream, from, count, this) * enclosingBlockWeight + upstream.freeCount
+    )
   }
 
-  override countUsableMax(room: UpstreamRoom): number {
-    return room.freeCount
+  override countUsableMax(upstream: UpstreamCapacity): number {
+    return upstream.freeCount
   }
 
   /** Gangs of several upstreams go to the rack with the least left over. */
-  override rateRack(rack: readonly UpstreamRoom[]): number {
-    return rack.reduce((sum, room) => sum + room.freeCount, 0)
+  override computeRackCost(rack: readonly UpstreamCapacity[]): number {
+    return rack.reduce((sum, upstream) => sum + upstream.freeCount, 0)
   }
 }
--- /dev/null
+++ b/placement/topology/src/measureEnclosingBlock.ts
@@ -0,0 +1,40 @@
+/** Size of the usable surroundings that a block would break up: small ones are best taken first. */
+import type { BlockChooser } from './blockChooser.js'
+import { isAligned, isUsableRun } from './fitBlock.js'
+import type { UpstreamCapacity } from './upstreamCapacity.js'
+
+export function measureEnclosingBlock(
+  upstream: UpstreamCapacity,
+  from: number,
+  count: number,
+  chooser: BlockChooser,
+): number {
+  return isAligned(count)
+    ? measureEnclosingAligned(upstream, from, count, chooser)
+    : measureEnclosingRun(upstream, from, count, chooser)
+}
+
+function measureEnclosingAligned(
+  upstream: UpstreamCapacity,
+  from: number,
+  count: number,
+  chooser: BlockChooser,
+): number {
+  const wider = count * 2
+  const widerFrom = from - (from % wider)
+  if (!isUsableRun(upstream, widerFrom, wider, chooser)) return count
+  return measureEnclosingAligned(upstream, widerFrom, wider, chooser)
+}
+
+function measureEnclosingRun(
+  upstream: UpstreamCapacity,
+  from: number,
+  count: number,
+  chooser: BlockChooser,
+): number {
+  let first = from
+  let end = from + count
+  while (isUsableRun(upstream, first - 1, 1, chooser)) first -= 1
+  while (isUsableRun(upstream, end, 1, chooser)) end += 1
+  return end - first
+}
--- a/placement/topology/src/upstreamRoom.ts
+++ b/placement/topology/src/upstreamCapacity.ts
@@ -6,7 +6,7 @@
 /** Keeps shares such as a third of 1.2 cores from being rounded down by one. */
 const tolerance = 1e-9
 
-export class UpstreamRoom {
+export class UpstreamCapacity {
   readonly view: UpstreamView
   readonly holders: (RunningGang | undefined)[]
   /** Workspaces whose guaranteed shapes are mapped here. */
@@ -16,8 +16,8 @@
   /** Waiting jobs that start here as soon as gangs being stopped are gone. */
   readonly promisedTo: (string | undefined)[]
   #freeCount: number
-  #cpuCores: number
-  #memoryBytes: number
+  #freeCpuCores: number
+  #freeMemoryBytes: number
 
   constructor(view: UpstreamView) {
     this.view = view
@@ -27,8 +27,8 @@
     this.formingFor = empty()
     this.promisedTo = empty()
     this.#freeCount = view.accelerators
-    this.#cpuCores = view.cpuCores
-    this.#memoryBytes = view.memoryBytes
+    this.#freeCpuCores = view.cpuCores
+    this.#freeMemoryBytes = view.memoryBytes
   }
 
   get upstreamId(): string {
@@ -45,16 +45,16 @@
   }
 
   get freeCpuCores(): number {
-    return this.#cpuCores
+    return this.#freeCpuCores
   }
 
   get freeMemoryBytes(): number {
-    return this.#memoryBytes
+    return this.#freeMemoryBytes
   }
 
   /** How many accelerators the free processors and memory suffice for, for members of this demand. */
-  countAffordable(demand: Demand): number {
-    return countAffordable(demand, this.#cpuCores, this.#memoryBytes)
+  countByCpuAndMemory(demand: Demand): number {
+    return countByCpuAndMemory(demand, this.#freeCpuCores, this.#freeMemoryBytes)
   }
 
   hold(index: number, gang: RunningGang): void {
@@ -63,14 +63,14 @@
     this.holders[index] = gang
   }
 
-  use(cpuCores: number, memoryBytes: number): void {
-    this.#cpuCores -= cpuCores
-    this.#memoryBytes -= memoryBytes
+  deductResources(cpuCores: number, memoryBytes: number): void {
+    this.#freeCpuCores -= cpuCores
+    this.#freeMemoryBytes -= memoryBytes
   }
 }
 
 /** How many accelerators these processors and this memory suffice for, for members of this demand. */
-export function countAffordable(demand: Demand, cpuCores: number, memoryBytes: number): number {
+export function countByCpuAndMemory(demand: Demand, cpuCores: number, memoryBytes: number): number {
   const { accelerators } = demand.gang
   const byCpu = divide(cpuCores * accelerators, demand.cpuCores)
   const byMemory = divide(memoryBytes * accelerators, demand.memoryBytes)
