--- a/control/service/src/contractCalls.ts
+++ b/control/service/src/contractCalls.ts
@@ -5,7 +5,7 @@
 import type { ContractChange, ContractRecord } from '@nettlespur/api.schemas'
 import { readContract } from '@nettlespur/control.state'
 import { NettlespurError, unwrap } from '@nettlespur/core.errors'
-import { findInfeasible } from '@nettlespur/placement.plan'
+import { findInfeasibility } from '@nettlespur/placement.plan'
 import { EitherAsync } from 'purify-ts'
 import { createPlacementView } from './createPlacementView.js'
 import type { LeaderSession } from './leaderSession.js'
@@ -56,7 +56,7 @@
     })
     const now = this.#opts.clock.now()
     const view = createPlacementView({ state, upstreams: up, now })
-    const infeasible = findInfeasible(view, contract)
+    const infeasible = findInfeasibility(view, contract)
     if (infeasible === undefined) return
     if (!session.knowsUpstreams) {
       const message = 'not all upstreams have announced themselves to the new leader yet'
--- a/placement/engine/src/clearChooser.ts
+++ b/placement/engine/src/clearChooser.ts
@@ -1,5 +1,5 @@
 /** Accelerators that are free or can be cleared for a job; best where the least work is lost. */
-import { measureSpare } from '@nettlespur/placement.plan'
+import { measureSpareResources } from '@nettlespur/placement.plan'
 import {
   BlockChooser,
   countByCpuAndMemory,
@@ -61,7 +61,7 @@
     }
     const byFreed = countByCpuAndMemory(demand, cpuCores, memoryBytes)
     if (job.stoppability !== 'never') return byFreed
-    const spare = measureSpare(room, job.workspace)
+    const spare = measureSpareResources(room, job.workspace)
     return Math.min(byFreed, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
--- a/placement/engine/src/placementRound.ts
+++ b/placement/engine/src/placementRound.ts
@@ -96,7 +96,7 @@
 
   /** Whether an unused reservation of the workspace has this very shape. */
   hasUnusedReservation(job: WaitingJob): boolean {
-    return this.#planner.hasUnused(this.map, job.workspace, job.gang)
+    return this.#planner.hasUnusedReservation(this.map, job.workspace, job.gang)
   }
 
   /** Moves what is reserved for others off these blocks; false where it cannot be kept elsewhere. */
@@ -136,7 +136,7 @@
     this.map.hold(gang)
     this.#placedNow.add(gang)
     this.#forming.release(this.map, job.jobId)
-    this.#planner.follow(this.map, gang)
+    this.#planner.tryMoveToGang(this.map, gang)
     this.#count(job.workspace, job.gang.accelerators)
     if (!this.#isWithinGuarantee(gang)) this.shares.borrow(job.workspace, job)
     this.decide({ kind: 'place', jobId: job.jobId, blocks, reason })
--- a/placement/engine/src/startChooser.ts
+++ b/placement/engine/src/startChooser.ts
@@ -2,7 +2,7 @@
  * Free accelerators that a job may start on. What is reserved or forms for another is only for work that can
  * be stopped.
  */
-import { isUnstoppable, measureSpare } from '@nettlespur/placement.plan'
+import { isUnstoppable, measureSpareResources } from '@nettlespur/placement.plan'
 import {
   countByCpuAndMemory,
   FreeChooser,
@@ -72,7 +72,7 @@
     const byFree = super.countByCpuAndMemory(room, demand)
     const { job } = this.#opts
     if (job.stoppability !== 'never') return byFree
-    const spare = measureSpare(room, job.workspace)
+    const spare = measureSpareResources(room, job.workspace)
     return Math.min(byFree, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
--- a/placement/plan/src/checkPlan.ts
+++ b/placement/plan/src/checkPlan.ts
@@ -26,7 +26,7 @@
     ...findOverlaps(plan),
     ...plan.reservations.flatMap((reservation) => findNotAdjacent(reservation, upstreams)),
     ...findNotReclaimable(cluster.running, plan),
-    ...findOverdrawn(cluster.running, plan, upstreams),
+    ...findOvercommitted(cluster.running, plan, upstreams),
   ]
 }
 
@@ -54,7 +54,7 @@
   const seen = new Map<string, string>()
   const faults: PlanFault[] = []
   for (const { reservationId, blocks } of reservations) {
-    for (const name of listNames(blocks)) {
+    for (const name of listAcceleratorNames(blocks)) {
       const other = seen.get(name)
       if (other !== undefined) {
         faults.push({
@@ -95,10 +95,10 @@
     (block, at) => block.acceleratorIndexes.length !== present[at]?.accelerators,
   )
   if (partial.length > 1) return fault('takes parts of several upstreams')
-  return partial.every(isRun) ? [] : fault('is not an aligned run')
+  return partial.every(isAlignedRun) ? [] : fault('is not an aligned run')
 }
 
-function isRun({ acceleratorIndexes }: Block): boolean {
+function isAlignedRun({ acceleratorIndexes }: Block): boolean {
   const [first = 0] = acceleratorIndexes
   const count = acceleratorIndexes.length
   const isAligned = ![1, 2, 4, 8].includes(count) || first % count === 0
@@ -110,11 +110,12 @@
   { reservations }: ReservationPlan,
 ): PlanFault[] {
   const owners = new Map<string, Reservation>()
-  for (const one of reservations) for (const name of listNames(one.blocks)) owners.set(name, one)
+  for (const reservation of reservations)
+    for (const name of listAcceleratorNames(reservation.blocks)) owners.set(name, reservation)
   return running
     .filter((gang) => gang.stoppability === 'never' && !gang.isStopping)
     .flatMap((gang) =>
-      listNames(gang.blocks)
+      listAcceleratorNames(gang.blocks)
         .filter((name) => (owners.get(name)?.workspace ?? gang.workspace) !== gang.workspace)
         .map((name): PlanFault => {
           const detail = `${name}, kept for ${owners.get(name)?.reservationId ?? ''}, is held by ${gang.jobId}`
@@ -123,35 +124,36 @@
     )
 }
 
-interface Sum {
+interface ResourceTotals {
   cpuCores: number
   memoryBytes: number
 }
 
 /** Work that cannot be stopped must leave each reserved accelerator its even share. */
-function findOverdrawn(
+function findOvercommitted(
   running: readonly RunningGang[],
   plan: ReservationPlan,
   upstreams: ReadonlyMap<string, UpstreamView>,
 ): PlanFault[] {
   const used = sumUse(running)
-  const kept = sumShares(plan, upstreams)
+  const reserved = sumShares(plan, upstreams)
   const faults: PlanFault[] = []
   for (const [upstreamId, view] of upstreams) {
     const workspaces = new Set([
       ...(used.get(upstreamId)?.keys() ?? []),
-      ...(kept.get(upstreamId)?.keys() ?? []),
+      ...(reserved.get(upstreamId)?.keys() ?? []),
     ])
     const sum = { cpuCores: 0, memoryBytes: 0 }
     for (const workspace of workspaces) {
       const use = used.get(upstreamId)?.get(workspace)
-      const share = kept.get(upstreamId)?.get(workspace)
+      const share = reserved.get(upstreamId)?.get(workspace)
       sum.cpuCores += Math.max(use?.cpuCores ?? 0, share?.cpuCores ?? 0)
       sum.memoryBytes += Math.max(use?.memoryBytes ?? 0, share?.memoryBytes ?? 0)
     }
-    const isOverdrawn =
-      sum.cpuCores > view.cpuCores * slack || sum.memoryBytes > view.memoryBytes * slack
-    if (kept.has(upstreamId) && isOverdrawn) {
+    const isOvercommitted =
+      sum.cpuCores > view.cpuCores * roundingTolerance ||
+      sum.memoryBytes > view.memoryBytes * roundingTolerance
+    if (reserved.has(upstreamId) && isOvercommitted) {
       faults.push({
         kind: 'share',
         detail: `${upstreamId}: its processors or memory do not suffice`,
@@ -162,12 +164,12 @@
 }
 
 /** For sums of fractions. */
-const slack = 1 + 1e-9
+const roundingTolerance = 1 + 1e-9
 
-type SumsByUpstream = Map<string, Map<string, Sum>>
+type TotalsByUpstream = Map<string, Map<string, ResourceTotals>>
 
-function sumUse(running: readonly RunningGang[]): SumsByUpstream {
-  const sums: SumsByUpstream = new Map()
+function sumUse(running: readonly RunningGang[]): TotalsByUpstream {
+  const sums: TotalsByUpstream = new Map()
   for (const gang of running) {
     if (gang.stoppability !== 'never' || gang.isStopping) continue
     for (const { upstreamId, acceleratorIndexes } of gang.blocks) {
@@ -184,8 +186,8 @@
 function sumShares(
   { reservations }: ReservationPlan,
   upstreams: ReadonlyMap<string, UpstreamView>,
-): SumsByUpstream {
-  const sums: SumsByUpstream = new Map()
+): TotalsByUpstream {
+  const sums: TotalsByUpstream = new Map()
   for (const { workspace, blocks } of reservations) {
     for (const { upstreamId, acceleratorIndexes } of blocks) {
       const view = upstreams.get(upstreamId)
@@ -200,8 +202,13 @@
   return sums
 }
 
-function add(sums: SumsByUpstream, upstreamId: string, workspace: string, sum: Sum): void {
-  const byWorkspace = sums.get(upstreamId) ?? new Map<string, Sum>()
+function add(
+  sums: TotalsByUpstream,
+  upstreamId: string,
+  workspace: string,
+  sum: ResourceTotals,
+): void {
+  const byWorkspace = sums.get(upstreamId) ?? new Map<string, ResourceTotals>()
   sums.set(upstreamId, byWorkspace)
   const present = byWorkspace.get(workspace) ?? { cpuCores: 0, memoryBytes: 0 }
   byWorkspace.set(workspace, {
@@ -210,7 +217,7 @@
   })
 }
 
-function listNames(blocks: readonly Block[]): string[] {
+function listAcceleratorNames(blocks: readonly Block[]): string[] {
   return blocks.flatMap(({ upstreamId, acceleratorIndexes }) =>
     acceleratorIndexes.map((index) => `${upstreamId}[${index}]`),
   )
--- a/placement/plan/src/findInfeasible.ts
+++ b/placement/plan/src/findInfeasibility.ts
@@ -15,7 +15,7 @@
 }
 
 /** Undefined where the change leaves no more guaranteed shapes without accelerators than there are now. */
-export function findInfeasible(
+export function findInfeasibility(
   cluster: PlannedCluster,
   changed: Contract,
 ): Infeasibility | undefined {
--- a/placement/plan/src/index.ts
+++ b/placement/plan/src/index.ts
@@ -1,7 +1,11 @@
 /** Keeps each guaranteed shape mapped to accelerators that can be reclaimed. */
 export { checkPlan, type PlanFault, type PlannedCluster } from './checkPlan.js'
-export { findInfeasible, type Infeasibility } from './findInfeasible.js'
-export { isUnstoppable, measureSpare, type Spare } from './measureSpare.js'
+export { findInfeasibility, type Infeasibility } from './findInfeasibility.js'
+export {
+  isUnstoppable,
+  measureSpareResources,
+  type SpareResources,
+} from './measureSpareResources.js'
 export {
   describeShapes,
   emptyPlan,
--- a/placement/plan/src/measureSpare.ts
+++ b/placement/plan/src/measureSpareResources.ts
@@ -8,7 +8,7 @@
   type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
 
-export interface Spare {
+export interface SpareResources {
   readonly cpuCores: number
   readonly memoryBytes: number
 }
@@ -20,9 +20,12 @@
 }
 
 /** Below zero where shares are overdrawn. Counts what `workspace` has reserved here as its own to use. */
-export function measureSpare(room: UpstreamCapacity, workspace: string): Spare {
-  const usages = collectUsages(room)
-  const { view, size } = room
+export function measureSpareResources(
+  upstream: UpstreamCapacity,
+  workspace: string,
+): SpareResources {
+  const usages = collectUsages(upstream)
+  const { view, size } = upstream
   const spare = { cpuCores: view.cpuCores, memoryBytes: view.memoryBytes }
   for (const [name, usage] of usages) {
     const share = name === workspace ? 0 : usage.reservedCount / size
@@ -33,10 +36,14 @@
 }
 
 /** Whether shares stay covered once `count` more accelerators here are reserved for `workspace`. */
-export function hasShareFor(room: UpstreamCapacity, workspace: string, count: number): boolean {
-  const usages = collectUsages(room)
-  openUsage(usages, workspace).reservedCount += count
-  const { view, size } = room
+export function canReserveShare(
+  upstream: UpstreamCapacity,
+  workspace: string,
+  count: number,
+): boolean {
+  const usages = collectUsages(upstream)
+  getOrCreateUsage(usages, workspace).reservedCount += count
+  const { view, size } = upstream
   let cpuCores = 0
   let memoryBytes = 0
   for (const usage of usages.values()) {
@@ -51,19 +58,19 @@
 const tolerance = 1e-6
 
 /** What each workspace has reserved, and what its work that cannot be stopped uses. */
-function collectUsages(room: UpstreamCapacity): Map<string, Usage> {
+function collectUsages(upstream: UpstreamCapacity): Map<string, Usage> {
   const usages = new Map<string, Usage>()
-  for (let index = 0; index < room.size; index += 1) {
-    const reservedFor = room.reservedFor[index]
-    if (reservedFor !== undefined) openUsage(usages, reservedFor).reservedCount += 1
-    const holder = room.holders[index]
-    if (holder !== undefined && isUnstoppable(holder)) addMember(usages, holder)
+  for (let index = 0; index < upstream.size; index += 1) {
+    const reservedFor = upstream.reservedFor[index]
+    if (reservedFor !== undefined) getOrCreateUsage(usages, reservedFor).reservedCount += 1
+    const holder = upstream.holders[index]
+    if (holder !== undefined && isUnstoppable(holder)) addHolderUsage(usages, holder)
   }
   return usages
 }
 
-function addMember(usages: Map<string, Usage>, holder: RunningGang): void {
-  const usage = openUsage(usages, holder.workspace)
+function addHolderUsage(usages: Map<string, Usage>, holder: RunningGang): void {
+  const usage = getOrCreateUsage(usages, holder.workspace)
   const { cpuCores, memoryBytes } = computeDemandShare(holder, 1)
   usage.cpuCores += cpuCores
   usage.memoryBytes += memoryBytes
@@ -73,7 +80,7 @@
   return gang.stoppability === 'never' && !gang.isStopping
 }
 
-function openUsage(usages: Map<string, Usage>, workspace: string): Usage {
+function getOrCreateUsage(usages: Map<string, Usage>, workspace: string): Usage {
   const present = usages.get(workspace)
   if (present !== undefined) return present
   const created = { cpuCores: 0, memoryBytes: 0, reservedCount: 0 }
--- a/placement/plan/src/reservation.ts
+++ b/placement/plan/src/reservation.ts
@@ -23,10 +23,10 @@
 
 /** Ids stay the same when counts or other guarantees change. */
 export function listReservedShapes(contracts: readonly Contract[]): ReservedShape[] {
-  return contracts.flatMap(listShapesOf)
+  return contracts.flatMap(listShapesOfContract)
 }
 
-function listShapesOf({ workspace, guarantees }: Contract): ReservedShape[] {
+function listShapesOfContract({ workspace, guarantees }: Contract): ReservedShape[] {
   const counts = new Map<string, number>()
   const shapes: ReservedShape[] = []
   for (const { accelerators, adjacency, count } of guarantees) {
--- a/placement/plan/src/reservationPlanner.ts
+++ b/placement/plan/src/reservationPlanner.ts
@@ -10,7 +10,7 @@
   type ClusterMap,
   type RunningGang,
 } from '@nettlespur/placement.topology'
-import { hasShareFor, measureSpare } from './measureSpare.js'
+import { canReserveShare, measureSpareResources } from './measureSpareResources.js'
 import {
   listReservedShapes,
   type Reservation,
@@ -21,7 +21,7 @@
 import { ReservationChooser } from './reservationChooser.js'
 
 /** Orders tried where the plain one leaves shapes without accelerators. */
-const freshAttemptsMax = 8
+const rebuildAttemptsMax = 8
 
 export class ReservationPlanner {
   #byId = new Map<string, Reservation>()
@@ -34,10 +34,10 @@
   /** Brings the plan up to date with this map, and marks it there. */
   update(map: ClusterMap, contracts: readonly Contract[]): ReservationPlan {
     const shapes = listReservedShapes(contracts)
-    const broken = this.#keepWhatHolds(map, shapes)
-    this.#missing = this.#mapAll(map, broken)
-    if (this.#missing.length > 0) this.#planAfresh(map, shapes)
-    this.#followOwnWork(map)
+    const broken = this.#keepValidReservations(map, shapes)
+    this.#missing = this.#mapShapes(map, broken)
+    if (this.#missing.length > 0) this.#rebuildPlan(map, shapes)
+    this.#moveUnusedToOwnGangs(map)
     return this.plan
   }
 
@@ -46,33 +46,33 @@
    * mapped elsewhere. False leaves the plan as it was.
    */
   tryVacate(map: ClusterMap, gang: RunningGang): boolean {
-    const hit = this.#listHit(map, gang)
-    for (const reservation of hit) this.#unmark(map, reservation)
-    map.visit(gang.blocks, (room, index) => (room.promisedTo[index] = gang.jobId))
-    const failed = this.#mapAll(map, hit)
-    const covered = failed.length === 0 && hasSpareFor(map, gang)
-    map.visit(gang.blocks, (room, index) => (room.promisedTo[index] = undefined))
-    if (covered) return true
-    for (const { reservationId } of hit) this.#drop(map, reservationId)
-    for (const reservation of hit) this.#mark(map, reservation)
+    const overlapping = this.#listOverlapping(map, gang)
+    for (const reservation of overlapping) this.#removeReservation(map, reservation)
+    map.visit(gang.blocks, (upstream, index) => (upstream.promisedTo[index] = gang.jobId))
+    const failed = this.#mapShapes(map, overlapping)
+    const hasMoved = failed.length === 0 && hasSpareFor(map, gang)
+    map.visit(gang.blocks, (upstream, index) => (upstream.promisedTo[index] = undefined))
+    if (hasMoved) return true
+    for (const { reservationId } of overlapping) this.#removeReservationById(map, reservationId)
+    for (const reservation of overlapping) this.#addReservation(map, reservation)
     return false
   }
 
   /** Moves a reservation of this very shape, unused so far, to where the workspace's gang now runs. */
-  follow(map: ClusterMap, gang: RunningGang): boolean {
+  tryMoveToGang(map: ClusterMap, gang: RunningGang): boolean {
     if (!isUnreserved(map, gang.blocks)) return false
     const unused = [...this.#byId.values()].find(
-      (reservation) => isShapeOf(reservation, gang) && !isUsedByOwner(map, reservation),
+      (reservation) => isSameOwnerAndShape(reservation, gang) && !isUsedByOwner(map, reservation),
     )
     if (unused === undefined) return false
-    this.#unmark(map, unused)
+    this.#removeReservation(map, unused)
     const moved = { ...unused, blocks: gang.blocks }
-    const holds = canMark(map, moved)
-    this.#mark(map, holds ? moved : unused)
+    const holds = canReserve(map, moved)
+    this.#addReservation(map, holds ? moved : unused)
     return holds
   }
 
-  hasUnused(map: ClusterMap, workspace: string, shape: Shape): boolean {
+  hasUnusedReservation(map: ClusterMap, workspace: string, shape: Shape): boolean {
     for (const reservation of this.#byId.values()) {
       if (reservation.workspace !== workspace || !isSameShape(reservation.shape, shape)) continue
       if (!isUsedByOwner(map, reservation)) return true
@@ -81,20 +81,21 @@
   }
 
   /** The shapes whose former mapping no longer holds. */
-  #keepWhatHolds(map: ClusterMap, shapes: readonly ReservedShape[]): ReservedShape[] {
+  #keepValidReservations(map: ClusterMap, shapes: readonly ReservedShape[]): ReservedShape[] {
     const former = this.#byId
     this.#byId = new Map()
     const broken: ReservedShape[] = []
     for (const shape of shapes) {
       const reservation = former.get(shape.reservationId)
-      if (reservation !== undefined && canMark(map, reservation)) this.#mark(map, reservation)
+      if (reservation !== undefined && canReserve(map, reservation))
+        this.#addReservation(map, reservation)
       else broken.push(shape)
     }
     return broken
   }
 
   /** Returns those for which there is no place. */
-  #mapAll(map: ClusterMap, shapes: readonly ReservedShape[]): ReservedShape[] {
+  #mapShapes(map: ClusterMap, shapes: readonly ReservedShape[]): ReservedShape[] {
     return sortLargestFirst(shapes).filter((shape) => !this.#tryMap(map, shape))
   }
 
@@ -102,16 +103,16 @@
     const demand = { gang: shape, cpuCores: 0, memoryBytes: 0 }
     const blocks = fitGang(map, demand, new ReservationChooser(map, workspace))
     if (blocks === undefined) return false
-    this.#mark(map, { reservationId, workspace, shape, blocks })
+    this.#addReservation(map, { reservationId, workspace, shape, blocks })
     return true
   }
 
   /** Keeps the attempt that leaves the least out; shapes left out come first in the next attempt. */
-  #planAfresh(map: ClusterMap, shapes: readonly ReservedShape[]): void {
+  #rebuildPlan(map: ClusterMap, shapes: readonly ReservedShape[]): void {
     let best = { byId: this.#byId, missing: this.#missing }
     let order = sortLargestFirst(shapes)
-    for (let attempt = 0; attempt < freshAttemptsMax; attempt += 1) {
-      this.#unmarkAll(map)
+    for (let attempt = 0; attempt < rebuildAttemptsMax; attempt += 1) {
+      this.#removeAllReservations(map)
       const missing = order.filter((shape) => !this.#tryMap(map, shape))
       if (countAccelerators(missing) < countAccelerators(best.missing)) {
         best = { byId: this.#byId, missing }
@@ -120,55 +121,55 @@
       const placed = order.filter((shape) => !missing.includes(shape))
       order = [...missing, ...placed]
     }
-    this.#unmarkAll(map)
-    for (const reservation of best.byId.values()) this.#mark(map, reservation)
+    this.#removeAllReservations(map)
+    for (const reservation of best.byId.values()) this.#addReservation(map, reservation)
     this.#missing = best.missing
   }
 
-  #followOwnWork(map: ClusterMap): void {
+  #moveUnusedToOwnGangs(map: ClusterMap): void {
     const unused = [...this.#byId.values()].filter((one) => !isUsedByOwner(map, one))
     if (unused.length === 0) return
     const workspaces = new Set(unused.map((reservation) => reservation.workspace))
     for (const gang of listGangs(map)) {
-      if (workspaces.has(gang.workspace) && !gang.isStopping) this.follow(map, gang)
+      if (workspaces.has(gang.workspace) && !gang.isStopping) this.tryMoveToGang(map, gang)
     }
   }
 
-  #listHit(map: ClusterMap, gang: RunningGang): Reservation[] {
+  #listOverlapping(map: ClusterMap, gang: RunningGang): Reservation[] {
     const workspaces = new Set<string>()
     const names = new Set<string>()
-    map.visit(gang.blocks, (room, index) => {
-      const workspace = room.reservedFor[index]
+    map.visit(gang.blocks, (upstream, index) => {
+      const workspace = upstream.reservedFor[index]
       if (workspace === undefined || workspace === gang.workspace) return
       workspaces.add(workspace)
-      names.add(nameAccelerator(room.upstreamId, index))
+      names.add(nameAccelerator(upstream.upstreamId, index))
     })
     if (names.size === 0) return []
     return [...this.#byId.values()].filter(
       ({ workspace, blocks }) =>
-        workspaces.has(workspace) && listNames(blocks).some((name) => names.has(name)),
+        workspaces.has(workspace) && listAcceleratorNames(blocks).some((name) => names.has(name)),
     )
   }
 
-  #mark(map: ClusterMap, reservation: Reservation): void {
+  #addReservation(map: ClusterMap, reservation: Reservation): void {
     this.#byId.set(reservation.reservationId, reservation)
-    map.visit(reservation.blocks, (room, index) => {
-      room.reservedFor[index] = reservation.workspace
+    map.visit(reservation.blocks, (upstream, index) => {
+      upstream.reservedFor[index] = reservation.workspace
     })
   }
 
-  #unmark(map: ClusterMap, reservation: Reservation): void {
+  #removeReservation(map: ClusterMap, reservation: Reservation): void {
     this.#byId.delete(reservation.reservationId)
-    map.visit(reservation.blocks, (room, index) => (room.reservedFor[index] = undefined))
+    map.visit(reservation.blocks, (upstream, index) => (upstream.reservedFor[index] = undefined))
   }
 
-  #drop(map: ClusterMap, reservationId: string): void {
+  #removeReservationById(map: ClusterMap, reservationId: string): void {
     const present = this.#byId.get(reservationId)
-    if (present !== undefined) this.#unmark(map, present)
+    if (present !== undefined) this.#removeReservation(map, present)
   }
 
-  #unmarkAll(map: ClusterMap): void {
-    for (const room of map.upstreams) room.reservedFor.fill(undefined)
+  #removeAllReservations(map: ClusterMap): void {
+    for (const upstream of map.upstreams) upstream.reservedFor.fill(undefined)
     this.#byId = new Map()
   }
 }
@@ -186,43 +187,43 @@
 }
 
 /** Whether the reservation may lie where it says: all there, usable, and with its share. */
-function canMark(map: ClusterMap, { workspace, blocks }: Reservation): boolean {
+function canReserve(map: ClusterMap, { workspace, blocks }: Reservation): boolean {
   const chooser = new ReservationChooser(map, workspace)
   return blocks.every(({ upstreamId, acceleratorIndexes }) => {
-    const room = map.find(upstreamId)
-    if (room === undefined) return false
+    const upstream = map.find(upstreamId)
+    if (upstream === undefined) return false
     const usable = acceleratorIndexes.every(
-      (index) => index < room.size && chooser.isUsable(room, index),
+      (index) => index < upstream.size && chooser.isUsable(upstream, index),
     )
-    return usable && hasShareFor(room, workspace, acceleratorIndexes.length)
+    return usable && canReserveShare(upstream, workspace, acceleratorIndexes.length)
   })
 }
 
-function isShapeOf({ workspace, shape }: Reservation, gang: RunningGang): boolean {
+function isSameOwnerAndShape({ workspace, shape }: Reservation, gang: RunningGang): boolean {
   return workspace === gang.workspace && isSameShape(shape, gang.gang)
 }
 
 /** Whether its workspace runs there, or is about to. */
 function isUsedByOwner(map: ClusterMap, { workspace, blocks }: Reservation): boolean {
   let isUsed = false
-  map.visit(blocks, (room, index) => {
-    const isClaimed = room.promisedTo[index] !== undefined
-    isUsed ||= isClaimed || room.holders[index]?.workspace === workspace
+  map.visit(blocks, (upstream, index) => {
+    const isClaimed = upstream.promisedTo[index] !== undefined
+    isUsed ||= isClaimed || upstream.holders[index]?.workspace === workspace
   })
   return isUsed
 }
 
 function isUnreserved(map: ClusterMap, blocks: readonly Block[]): boolean {
   let isOpen = true
-  map.visit(blocks, (room, index) => (isOpen &&= room.reservedFor[index] === undefined))
+  map.visit(blocks, (upstream, index) => (isOpen &&= upstream.reservedFor[index] === undefined))
   return isOpen
 }
 
 function hasSpareFor(map: ClusterMap, gang: RunningGang): boolean {
   return gang.blocks.every(({ upstreamId, acceleratorIndexes }) => {
-    const room = map.find(upstreamId)
-    if (room === undefined) return false
-    const spare = measureSpare(room, gang.workspace)
+    const upstream = map.find(upstreamId)
+    if (upstream === undefined) return false
+    const spare = measureSpareResources(upstream, gang.workspace)
     const share = acceleratorIndexes.length / gang.gang.accelerators
     return gang.cpuCores * share <= spare.cpuCores && gang.memoryBytes * share <= spare.memoryBytes
   })
@@ -230,13 +231,13 @@
 
 function listGangs(map: ClusterMap): Set<RunningGang> {
   const gangs = new Set<RunningGang>()
-  for (const room of map.upstreams) {
-    for (const holder of room.holders) if (holder !== undefined) gangs.add(holder)
+  for (const upstream of map.upstreams) {
+    for (const holder of upstream.holders) if (holder !== undefined) gangs.add(holder)
   }
   return gangs
 }
 
-function listNames(blocks: readonly Block[]): string[] {
+function listAcceleratorNames(blocks: readonly Block[]): string[] {
   return blocks.flatMap(({ upstreamId, acceleratorIndexes }) =>
     acceleratorIndexes.map((index) => nameAccelerator(upstreamId, index)),
   )
--- a/placement/plan/test/reservationPlanner.test.ts
+++ b/placement/plan/test/reservationPlanner.test.ts
@@ -3,15 +3,20 @@
 import { ClusterMap, type RunningGang, type Stoppability } from '@nettlespur/placement.topology'
 import test from 'ava'
 import fc from 'fast-check'
-import { checkPlan, findInfeasible, ReservationPlanner } from '../src/index.js'
+import { checkPlan, findInfeasibility, ReservationPlanner } from '../src/index.js'
 
 const upstreams = [0, 1, 2].map((index) => createUpstreamView(`u${index}`))
 
-function guarantee(workspace: string, guarantees: Contract['guarantees']): Contract {
+function createGuaranteed(workspace: string, guarantees: Contract['guarantees']): Contract {
   return { ...createContract(workspace), guarantees }
 }
 
-function run(upstreamId: string, index: number, stoppability: Stoppability, cpuCores = 0) {
+function createRunningGang(
+  upstreamId: string,
+  index: number,
+  stoppability: Stoppability,
+  cpuCores = 0,
+) {
   const gang: RunningGang = {
     jobId: `${upstreamId}-${index}`,
     workspace: 'borrower',
@@ -51,9 +56,9 @@
   )
   const property = fc.property(held, wanted, (gangs, guarantees) => {
     const running = gangs.map(({ at, stoppability, cpuCores }) =>
-      run(`u${Math.floor(at / 8)}`, at % 8, stoppability, cpuCores),
+      createRunningGang(`u${Math.floor(at / 8)}`, at % 8, stoppability, cpuCores),
     )
-    const contracts = [guarantee('a', guarantees)]
+    const contracts = [createGuaranteed('a', guarantees)]
     const plan = new ReservationPlanner().update(new ClusterMap(upstreams, running), contracts)
     const faults = checkPlan({ contracts, upstreams, running }, plan)
     t.deepEqual(
@@ -67,7 +72,7 @@
 
 test('a shape moves off an upstream that goes, and is told missing when none is left', (t) => {
   const planner = new ReservationPlanner()
-  const contracts = [guarantee('a', [whole])]
+  const contracts = [createGuaranteed('a', [whole])]
   const [first] = planner.update(new ClusterMap(upstreams, []), contracts).reservations
   const left = upstreams.filter(({ upstreamId }) => upstreamId !== first?.blocks[0]?.upstreamId)
   const [second] = planner.update(new ClusterMap(left, []), contracts).reservations
@@ -78,7 +83,7 @@
 })
 
 test('the checker objects to overlaps, parts of shapes and holders that cannot be stopped', (t) => {
-  const contracts = [guarantee('a', [whole]), guarantee('b', [whole])]
+  const contracts = [createGuaranteed('a', [whole]), createGuaranteed('b', [whole])]
   const kinds = (running: RunningGang[], acceleratorIndexes: number[]): string[] => {
     const reservations = contracts.map(({ workspace }) => ({
       reservationId: workspace,
@@ -91,23 +96,31 @@
   }
   t.true(kinds([], [0, 1, 2, 3, 4, 5, 6, 7]).includes('overlap'))
   t.true(kinds([], [0, 1]).includes('not-adjacent'))
-  t.true(kinds([run('u0', 0, 'never')], [0, 1, 2, 3, 4, 5, 6, 7]).includes('not-reclaimable'))
-  t.false(kinds([run('u0', 0, 'repeat')], [0, 1, 2, 3, 4, 5, 6, 7]).includes('not-reclaimable'))
+  t.true(
+    kinds([createRunningGang('u0', 0, 'never')], [0, 1, 2, 3, 4, 5, 6, 7]).includes(
+      'not-reclaimable',
+    ),
+  )
+  t.false(
+    kinds([createRunningGang('u0', 0, 'repeat')], [0, 1, 2, 3, 4, 5, 6, 7]).includes(
+      'not-reclaimable',
+    ),
+  )
 })
 
 test('a contract that does not fit beside the others is refused, with what would fit', (t) => {
-  const contracts = [guarantee('a', [{ ...whole, count: 2 }])]
+  const contracts = [createGuaranteed('a', [{ ...whole, count: 2 }])]
   const cluster = { contracts, upstreams, running: [] }
-  t.is(findInfeasible(cluster, guarantee('b', [whole])), undefined)
-  const twice = findInfeasible(cluster, guarantee('b', [{ ...whole, count: 2 }]))
+  t.is(findInfeasibility(cluster, createGuaranteed('b', [whole])), undefined)
+  const twice = findInfeasibility(cluster, createGuaranteed('b', [{ ...whole, count: 2 }]))
   t.is(twice?.wouldFit, '1 x 8 (upstream)')
-  const busy = { ...cluster, running: [run('u2', 7, 'never')] }
-  t.is(findInfeasible(busy, guarantee('b', [whole]))?.wouldFit, '1 x 7 (upstream)')
+  const busy = { ...cluster, running: [createRunningGang('u2', 7, 'never')] }
+  t.is(findInfeasibility(busy, createGuaranteed('b', [whole]))?.wouldFit, '1 x 7 (upstream)')
 })
 
 test('a change that takes nothing more passes also while failures leave shapes missing', (t) => {
-  const contracts = [guarantee('a', [{ ...whole, count: 2 }])]
+  const contracts = [createGuaranteed('a', [{ ...whole, count: 2 }])]
   const cluster = { contracts, upstreams: upstreams.slice(0, 1), running: [] }
-  t.is(findInfeasible(cluster, guarantee('a', [whole])), undefined)
-  t.not(findInfeasible(cluster, guarantee('b', [whole])), undefined)
+  t.is(findInfeasibility(cluster, createGuaranteed('a', [whole])), undefined)
+  t.not(findInfeasibility(cluster, createGuaranteed('b', [whole])), undefined)
 })
