--- a/bench/placement/src/measureTraces.ts
+++ b/bench/placement/src/measureTraces.ts
@@ -1,5 +1,5 @@
 /** Completion times and fragmentation of the policy against the baselines, as ratios in one run. */
-import { createPolicy, DeclarationCorrection, type Objective } from '@nettlespur/placement.engine'
+import { createPolicy, RunTimeCorrection, type Objective } from '@nettlespur/placement.engine'
 import * as hdr from 'hdr-histogram-js'
 import { BestFitPolicy } from './bestFitPolicy.js'
 import { DeclaredBackfillPolicy } from './declaredBackfillPolicy.js'
@@ -61,7 +61,7 @@
 
 async function measureTrace(name: string, trace: Trace, objective: Objective): Promise<Row[]> {
   const policy = createPolicy(objective)
-  const ours = await new TraceRun(trace, policy, new DeclarationCorrection()).run()
+  const ours = await new TraceRun(trace, policy, new RunTimeCorrection()).run()
   const baselines = {
     'first-fit': await new TraceRun(trace, new FirstFitPolicy()).run(),
     'best-fit': await new TraceRun(trace, new BestFitPolicy()).run(),
--- a/bench/placement/src/traceRun.ts
+++ b/bench/placement/src/traceRun.ts
@@ -4,7 +4,7 @@
  */
 import { ManualClock } from '@nettlespur/core.clock'
 import {
-  DeclarationCorrection,
+  RunTimeCorrection,
   type PlacementDecision,
   type PlacementPolicy,
   type PlacementView,
@@ -57,7 +57,7 @@
   readonly #trace: Trace
   readonly #policy: PlacementPolicy
   readonly #clock = new ManualClock()
-  readonly #correction: DeclarationCorrection | undefined
+  readonly #correction: RunTimeCorrection | undefined
   readonly #live = new Map<string, LiveJob>()
   readonly #failures = new Map<string, number>()
   readonly #finished: FinishedJob[] = []
@@ -68,7 +68,7 @@
   #nextArrival = 0
 
   /** With `correction` the policy is given corrected run times, without it the declared ones. */
-  constructor(trace: Trace, policy: PlacementPolicy, correction?: DeclarationCorrection) {
+  constructor(trace: Trace, policy: PlacementPolicy, correction?: RunTimeCorrection) {
     this.#trace = trace
     this.#policy = policy
     this.#correction = correction
@@ -261,7 +261,7 @@
   }
 
   #expect({ workspace, declaredRunTimeMs }: TraceJob): number {
-    return this.#correction?.expectRunTimeMs(workspace, declaredRunTimeMs) ?? declaredRunTimeMs
+    return this.#correction?.estimateRunTimeMs(workspace, declaredRunTimeMs) ?? declaredRunTimeMs
   }
 
   #createView(): PlacementView {
--- a/control/service/src/createPlacementView.ts
+++ b/control/service/src/createPlacementView.ts
@@ -1,7 +1,7 @@
 /** The view a placement decision is taken from: upstreams as heard, everything else as committed. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { ControlState, JobRecord } from '@nettlespur/control.state'
-import type { DeclarationCorrection, PlacementView, WaitingJob } from '@nettlespur/placement.engine'
+import type { RunTimeCorrection, PlacementView, WaitingJob } from '@nettlespur/placement.engine'
 import { readStoppability, type RunningGang } from '@nettlespur/placement.topology'
 
 export interface PlacementViewOptions {
@@ -11,7 +11,7 @@
   /** Whether upstreams have had the time to announce themselves; false by default. */
   upstreamsKnown?: boolean
   /** Declared run times are taken as they are without it. */
-  correction?: DeclarationCorrection
+  correction?: RunTimeCorrection
 }
 
 export function createPlacementView(opts: PlacementViewOptions): PlacementView {
@@ -49,7 +49,7 @@
   const tooEarly = retryAt !== undefined && Date.parse(retryAt) > opts.now.getTime()
   const heldBack = tooEarly ? `tried again from ${retryAt} on` : undefined
   const queuedAtMs = findLast(job, 'job.requeued') ?? submittedAtMs
-  return { ...describeJob(opts, job), submittedAtMs, queuedAtMs, heldBack }
+  return { ...describeJob(opts, job), submittedAtMs, queuedAtMs, holdReason: heldBack }
 }
 
 function describeJob({ correction }: PlacementViewOptions, { jobId, request }: JobRecord) {
@@ -62,7 +62,7 @@
     memoryBytes,
     urgency,
     stoppability: readStoppability(request),
-    expectedRunTimeMs: correction?.expectRunTimeMs(workspace, declaredMs) ?? declaredMs,
+    expectedRunTimeMs: correction?.estimateRunTimeMs(workspace, declaredMs) ?? declaredMs,
   }
 }
 
--- a/control/service/src/decideProbes.ts
+++ b/control/service/src/decideProbes.ts
@@ -56,7 +56,7 @@
   { request, failedUpstreamIds }: JobRecord,
   upstreamId: string,
 ): boolean {
-  if (job.heldBack !== undefined || job.urgency === 'urgent' || !request.repeatable) return false
+  if (job.holdReason !== undefined || job.urgency === 'urgent' || !request.repeatable) return false
   const own = view.running.filter((gang) => gang.workspace === job.workspace)
   const used = own.reduce((sum, { gang }) => sum + gang.accelerators, 0)
   const contract = view.contracts.find(({ workspace }) => workspace === job.workspace)
--- a/control/service/src/decideRound.ts
+++ b/control/service/src/decideRound.ts
@@ -4,7 +4,7 @@
  */
 import type { ControlState } from '@nettlespur/control.state'
 import {
-  startGang,
+  createPlacedGang,
   type PlaceDecision,
   type PlacementDecision,
   type PlacementPolicy,
@@ -44,7 +44,7 @@
   const blocks = new Map(probes.map((probe) => [probe.jobId, probe.blocks]))
   const placed = view.waiting.flatMap((job) => {
     const found = blocks.get(job.jobId)
-    return found === undefined ? [] : [startGang(job, found)]
+    return found === undefined ? [] : [createPlacedGang(job, found)]
   })
   const waiting = view.waiting.filter((job) => !blocks.has(job.jobId))
   return { ...view, running: [...view.running, ...placed], waiting }
--- a/control/service/src/runTimeLearner.ts
+++ b/control/service/src/runTimeLearner.ts
@@ -1,11 +1,11 @@
 /** Learns from finished jobs how far the run times that each workspace declares are off. */
 import type { ControlState } from '@nettlespur/control.state'
-import { DeclarationCorrection } from '@nettlespur/placement.engine'
+import { RunTimeCorrection } from '@nettlespur/placement.engine'
 
 const learnEveryMs = 60_000
 
 export class RunTimeLearner {
-  readonly correction = new DeclarationCorrection()
+  readonly correction = new RunTimeCorrection()
   #seen = new Set<string>()
   #nextMs = 0
 
--- a/placement/engine/src/completionTimePolicy.ts
+++ b/placement/engine/src/completionTimePolicy.ts
@@ -6,7 +6,7 @@
 import type { WaitingJob } from './placementView.js'
 
 export class CompletionTimePolicy extends ObjectivePolicy {
-  protected override readonly preemptionPatience = 0.05
+  protected override readonly lostWorkRatioMax = 0.05
 
   protected override rank(job: WaitingJob, nowMs: number): number {
     const waitedMs = nowMs - job.submittedAtMs
--- a/placement/engine/src/startGang.ts
+++ b/placement/engine/src/createPlacedGang.ts
@@ -2,7 +2,7 @@
 import type { Block, RunningGang } from '@nettlespur/placement.topology'
 import type { WaitingJob } from './placementView.js'
 
-export function startGang(job: WaitingJob, blocks: readonly Block[]): RunningGang {
+export function createPlacedGang(job: WaitingJob, blocks: readonly Block[]): RunningGang {
   return {
     ...job,
     blocks,
--- a/placement/engine/src/dominantShares.ts
+++ b/placement/engine/src/dominantShares.ts
@@ -20,12 +20,12 @@
     this.#weights = new Map(contracts.map(({ workspace, weight }) => [workspace, weight]))
     this.#totals = {
       accelerators: map.size,
-      cpuCores: map.upstreams.reduce((sum, room) => sum + room.view.cpuCores, 0),
-      memoryBytes: map.upstreams.reduce((sum, room) => sum + room.view.memoryBytes, 0),
+      cpuCores: map.upstreams.reduce((sum, upstream) => sum + upstream.view.cpuCores, 0),
+      memoryBytes: map.upstreams.reduce((sum, upstream) => sum + upstream.view.memoryBytes, 0),
     }
   }
 
-  borrow(workspace: string, { gang, cpuCores, memoryBytes }: Demand): void {
+  addBorrowed(workspace: string, { gang, cpuCores, memoryBytes }: Demand): void {
     const present = this.#borrowed.get(workspace)
     this.#borrowed.set(workspace, {
       accelerators: (present?.accelerators ?? 0) + gang.accelerators,
@@ -34,7 +34,7 @@
     })
   }
 
-  measure(workspace: string): number {
+  computeShare(workspace: string): number {
     const borrowed = this.#borrowed.get(workspace)
     if (borrowed === undefined) return 0
     const share = Math.max(
--- a/placement/engine/src/formingBlocks.ts
+++ b/placement/engine/src/formingBlocks.ts
@@ -10,7 +10,7 @@
 /** Share of all accelerators that may be set apart at once; one block may be whatever its size. */
 const formingShareMax = 0.5
 
-export interface FormingSite {
+export interface FormingContext {
   readonly map: ClusterMap
   readonly rules: VictimRules
   readonly nowMs: number
@@ -26,33 +26,36 @@
   }
 
   /** Marks in the map what was set apart, so that reservations are not moved there. */
-  mark(map: ClusterMap): void {
+  markAll(map: ClusterMap): void {
     for (const [jobId, blocks] of this.#byJobId) {
-      map.visit(blocks, (room, index) => (room.formingFor[index] = jobId))
+      map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = jobId))
     }
   }
 
   /** Marks in the map what is still set apart, and forgets the rest. */
-  keep({ map, rules }: Pick<FormingSite, 'map' | 'rules'>, waiting: readonly WaitingJob[]): void {
+  keepOpenBlocks(
+    { map, rules }: Pick<FormingContext, 'map' | 'rules'>,
+    waiting: readonly WaitingJob[],
+  ): void {
     const former = this.#byJobId
     this.#byJobId = new Map()
     if (former.size === 0) return
-    for (const room of map.upstreams) room.formingFor.fill(undefined)
+    for (const upstream of map.upstreams) upstream.formingFor.fill(undefined)
     for (const job of waiting) {
       const blocks = former.get(job.jobId)
-      if (blocks === undefined || job.heldBack !== undefined) continue
-      if (isOpen(map, blocks, job, rules)) this.#mark(map, job, blocks)
+      if (blocks === undefined || job.holdReason !== undefined) continue
+      if (isOpen(map, blocks, job, rules)) this.#assign(map, job, blocks)
     }
   }
 
   /** Sets the block apart that will be free soonest; undefined where enough is set apart already. */
-  form(site: FormingSite, job: WaitingJob): readonly Block[] | undefined {
+  formBlock(site: FormingContext, job: WaitingJob): readonly Block[] | undefined {
     const { map, rules, nowMs } = site
     const total = this.#countAccelerators() + job.gang.accelerators
     if (this.#byJobId.size > 0 && total > map.size * formingShareMax) return undefined
     const open = fitGang(map, job, new FormingChooser({ job, rules, nowMs }))
-    const blocks = open ?? this.#findVacated(site, job)
-    if (blocks !== undefined) this.#mark(map, job, blocks)
+    const blocks = open ?? this.#findReservedBlocks(site, job)
+    if (blocks !== undefined) this.#assign(map, job, blocks)
     return blocks
   }
 
@@ -61,11 +64,14 @@
     const blocks = this.#byJobId.get(jobId)
     if (blocks === undefined) return
     this.#byJobId.delete(jobId)
-    map.visit(blocks, (room, index) => (room.formingFor[index] = undefined))
+    map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = undefined))
   }
 
   /** A block on which others have reservations, once these are moved. */
-  #findVacated({ map, rules, nowMs, vacate }: FormingSite, job: WaitingJob): Block[] | undefined {
+  #findReservedBlocks(
+    { map, rules, nowMs, vacate }: FormingContext,
+    job: WaitingJob,
+  ): Block[] | undefined {
     if (job.stoppability !== 'never') return undefined
     const asStoppable: WaitingJob = { ...job, stoppability: 'repeat' }
     const chooser = new FormingChooser({ job: asStoppable, rules, nowMs })
@@ -73,9 +79,9 @@
     return blocks !== undefined && vacate(job, blocks) ? blocks : undefined
   }
 
-  #mark(map: ClusterMap, job: WaitingJob, blocks: readonly Block[]): void {
+  #assign(map: ClusterMap, job: WaitingJob, blocks: readonly Block[]): void {
     this.#byJobId.set(job.jobId, blocks)
-    map.visit(blocks, (room, index) => (room.formingFor[index] = job.jobId))
+    map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = job.jobId))
   }
 
   #countAccelerators(): number {
@@ -95,10 +101,10 @@
   rules: VictimRules,
 ): boolean {
   return blocks.every(({ upstreamId, acceleratorIndexes }) => {
-    const room = map.find(upstreamId)
-    if (room === undefined) return false
+    const upstream = map.find(upstreamId)
+    if (upstream === undefined) return false
     return acceleratorIndexes.every(
-      (index) => index < room.size && rules.isOpenTo(room, index, job, 'forming'),
+      (index) => index < upstream.size && rules.isAvailableTo(upstream, index, job, 'forming'),
     )
   })
 }
--- a/placement/engine/src/formingChooser.ts
+++ b/placement/engine/src/formingChooser.ts
@@ -8,7 +8,7 @@
   type Demand,
   type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
-import { expectRemainingMs, measureLostWork } from './measureLostWork.js'
+import { estimateRemainingMs, measureLostWork } from './measureLostWork.js'
 import type { WaitingJob } from './placementView.js'
 import type { VictimRules } from './victimRules.js'
 
@@ -26,21 +26,21 @@
     this.#opts = opts
   }
 
-  isUsable(room: UpstreamCapacity, index: number): boolean {
+  isUsable(upstream: UpstreamCapacity, index: number): boolean {
     const { job, rules } = this.#opts
-    return rules.isOpenTo(room, index, job, 'forming')
+    return rules.isAvailableTo(upstream, index, job, 'forming')
   }
 
-  computeCost(room: UpstreamCapacity, from: number, count: number): number {
+  computeCost(upstream: UpstreamCapacity, from: number, count: number): number {
     const { job, rules, nowMs } = this.#opts
-    let rate = 0
-    for (const holder of new Set(room.holders.slice(from, from + count))) {
+    let cost = 0
+    for (const holder of new Set(upstream.holders.slice(from, from + count))) {
       if (holder === undefined || rules.isStopping(holder)) continue
-      const isVictim = rules.mayStop(holder, job, 'forming')
+      const isVictim = rules.canStop(holder, job, 'forming')
       const lostMs = measureLostWork(holder, nowMs) / job.gang.accelerators
-      rate += isVictim ? lostMs : expectRemainingMs(holder, nowMs)
+      cost += isVictim ? lostMs : estimateRemainingMs(holder, nowMs)
     }
-    return rate
+    return cost
   }
 
   override computeRackCost(): number {
@@ -48,7 +48,7 @@
   }
 
   /** As if nothing else ran there. */
-  override countByCpuAndMemory(room: UpstreamCapacity, demand: Demand): number {
-    return countByCpuAndMemory(demand, room.view.cpuCores, room.view.memoryBytes)
+  override countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
+    return countByCpuAndMemory(demand, upstream.view.cpuCores, upstream.view.memoryBytes)
   }
 }
--- a/placement/engine/src/fragmentationPolicy.ts
+++ b/placement/engine/src/fragmentationPolicy.ts
@@ -3,7 +3,7 @@
 import type { WaitingJob } from './placementView.js'
 
 export class FragmentationPolicy extends ObjectivePolicy {
-  protected override readonly preemptionPatience = 0.05
+  protected override readonly lostWorkRatioMax = 0.05
 
   protected override rank(job: WaitingJob): number {
     return -job.gang.accelerators
--- a/placement/engine/src/index.ts
+++ b/placement/engine/src/index.ts
@@ -1,6 +1,6 @@
 /** Where gangs are placed, and why those that wait are waiting. */
 export { createPolicy, type Objective } from './createPolicy.js'
-export { DeclarationCorrection } from './declarationCorrection.js'
+export { RunTimeCorrection } from './runTimeCorrection.js'
 export { measureUnusableShare } from './measureFragmentation.js'
 export type {
   PlaceDecision,
@@ -11,4 +11,4 @@
 } from './placementDecision.js'
 export { PlacementPolicy } from './placementPolicy.js'
 export type { PlacementView, WaitingJob } from './placementView.js'
-export { startGang } from './startGang.js'
+export { createPlacedGang } from './createPlacedGang.js'
--- a/placement/engine/src/jobScreen.ts
+++ b/placement/engine/src/jobAdmission.ts
@@ -3,37 +3,37 @@
  * have found no room, since room only shrinks while a round lasts.
  */
 import { describeBlocks, describeGang } from './describe.js'
-import { emptyMap, fitsOnEmpty } from './placementPolicy.js'
+import { createEmptyMap, canFitOnEmpty } from './placementPolicy.js'
 import type { PlacementRound } from './placementRound.js'
 import type { WaitingJob } from './placementView.js'
 import type { Block, ClusterMap } from '@nettlespur/placement.topology'
 
 /** A shape that no known upstreams could hold for this long is given up on. */
-const impossibleAfterMs = 600_000
+const refuseInfeasibleAfterMs = 600_000
 /** Keeps a reservation whole for gangs of its own shape. */
 const breaksReservationCost = 100_000
 
-export class JobScreen {
+export class JobAdmission {
   readonly #round: PlacementRound
   #emptyMap: ClusterMap | undefined
   /** Workspaces and shapes of which no reservation is unused. */
-  readonly #usedUp = new Set<string>()
-  readonly #noRoom = new Set<string>()
-  readonly #possible = new Map<string, boolean>()
-  readonly #largestUpstream: number
+  readonly #shapesWithoutUnused = new Set<string>()
+  readonly #failedSearches = new Set<string>()
+  readonly #feasibleByDemand = new Map<string, boolean>()
+  readonly #largestUpstreamSize: number
   readonly #guaranteedCounts: ReadonlyMap<string, number>
 
   constructor(round: PlacementRound) {
     this.#round = round
-    this.#largestUpstream = round.map.largestUpstreamSize
+    this.#largestUpstreamSize = round.map.largestUpstreamSize
     this.#guaranteedCounts = countGuaranteed(round)
   }
 
   /** Decides on jobs that cannot run now whatever is free. */
-  admits(job: WaitingJob): boolean {
-    const { jobId, heldBack } = job
-    if (heldBack !== undefined) {
-      this.#round.decide({ kind: 'wait', jobId, reason: heldBack })
+  tryAdmit(job: WaitingJob): boolean {
+    const { jobId, holdReason } = job
+    if (holdReason !== undefined) {
+      this.#round.decide({ kind: 'wait', jobId, reason: holdReason })
       return false
     }
     const refusal = this.#findRefusal(job)
@@ -43,7 +43,7 @@
   }
 
   /** Whether the job is undecided and its workspace is below its limit. */
-  stillAdmits(job: WaitingJob): boolean {
+  tryAdmitWithinLimit(job: WaitingJob): boolean {
     const round = this.#round
     if (!round.isUndecided(job)) return false
     const { jobId, workspace, gang } = job
@@ -55,12 +55,12 @@
   }
 
   /** Looks for room unless the same shape has found none before in this round. */
-  once<T>(look: string, job: WaitingJob, find: () => T | undefined): T | undefined {
-    const isSpecial = job.avoidedUpstreamIds !== undefined || this.#round.ownsForming(job)
-    const name = `${look} ${nameClass(job)}${isSpecial ? job.jobId : ''}`
-    if (this.#noRoom.has(name)) return undefined
+  searchOnce<T>(searchName: string, job: WaitingJob, find: () => T | undefined): T | undefined {
+    const isSpecial = job.avoidedUpstreamIds !== undefined || this.#round.hasFormingBlock(job)
+    const name = `${searchName} ${buildSearchKey(job)}${isSpecial ? job.jobId : ''}`
+    if (this.#failedSearches.has(name)) return undefined
     const found = find()
-    if (found === undefined) this.#noRoom.add(name)
+    if (found === undefined) this.#failedSearches.add(name)
     return found
   }
 
@@ -73,19 +73,19 @@
     return held + job.gang.accelerators <= guaranteed
   }
 
-  rateOwnReserved(job: WaitingJob): number {
+  computeOwnReservedCost(job: WaitingJob): number {
     return this.#hasOwnReservation(job) ? -breaksReservationCost : breaksReservationCost
   }
 
   /** Gangs that fill an upstream or more have blocks set apart for them. */
-  mayForm(job: WaitingJob): boolean {
-    return job.gang.accelerators >= this.#largestUpstream && this.isPossible(job)
+  canForm(job: WaitingJob): boolean {
+    return job.gang.accelerators >= this.#largestUpstreamSize && this.isFeasible(job)
   }
 
-  holdBack(job: WaitingJob, forming?: readonly Block[]): void {
+  decideWait(job: WaitingJob, forming?: readonly Block[]): void {
     const { jobId } = job
     const asked = describeGang(job)
-    if (!this.isPossible(job)) {
+    if (!this.isFeasible(job)) {
       const reason = `no set of the known upstreams can hold ${asked} with its processors and memory`
       this.#round.decide({ kind: 'wait', jobId, reason })
       return
@@ -95,14 +95,14 @@
     this.#round.decide({ kind: 'wait', jobId, reason })
   }
 
-  isPossible(job: WaitingJob): boolean {
-    const name = nameDemand(job)
-    const known = this.#possible.get(name)
+  isFeasible(job: WaitingJob): boolean {
+    const name = buildDemandKey(job)
+    const known = this.#feasibleByDemand.get(name)
     if (known !== undefined) return known
-    this.#emptyMap ??= emptyMap(this.#round.view.upstreams)
-    const isPossible = fitsOnEmpty(this.#emptyMap, job)
-    this.#possible.set(name, isPossible)
-    return isPossible
+    this.#emptyMap ??= createEmptyMap(this.#round.view.upstreams)
+    const isFeasible = canFitOnEmpty(this.#emptyMap, job)
+    this.#feasibleByDemand.set(name, isFeasible)
+    return isFeasible
   }
 
   #findRefusal(job: WaitingJob): string | undefined {
@@ -112,7 +112,7 @@
       return `the contract of ${job.workspace} allows ${limits.concurrentAccelerators} accelerators at once`
     }
     const waitedMs = view.nowMs - job.submittedAtMs
-    if (!view.upstreamsKnown || waitedMs < impossibleAfterMs || this.isPossible(job)) {
+    if (!view.upstreamsKnown || waitedMs < refuseInfeasibleAfterMs || this.isFeasible(job)) {
       return undefined
     }
     return `no set of the known upstreams can hold ${describeGang(job)}, now or when all are up`
@@ -121,9 +121,9 @@
   #hasOwnReservation(job: WaitingJob): boolean {
     const { workspace, gang } = job
     const name = `${workspace} ${gang.accelerators} ${gang.adjacency}`
-    if (this.#usedUp.has(name)) return false
+    if (this.#shapesWithoutUnused.has(name)) return false
     const hasOne = this.#round.hasUnusedReservation(job)
-    if (!hasOne) this.#usedUp.add(name)
+    if (!hasOne) this.#shapesWithoutUnused.add(name)
     return hasOne
   }
 }
@@ -137,10 +137,10 @@
   )
 }
 
-function nameClass(job: WaitingJob): string {
-  return `${job.workspace} ${job.stoppability} ${nameDemand(job)}`
+function buildSearchKey(job: WaitingJob): string {
+  return `${job.workspace} ${job.stoppability} ${buildDemandKey(job)}`
 }
 
-function nameDemand({ gang, cpuCores, memoryBytes }: WaitingJob): string {
+function buildDemandKey({ gang, cpuCores, memoryBytes }: WaitingJob): string {
   return `${gang.accelerators} ${gang.adjacency} ${cpuCores} ${memoryBytes}`
 }
--- a/placement/engine/src/measureLostWork.ts
+++ b/placement/engine/src/measureLostWork.ts
@@ -17,7 +17,7 @@
 }
 
 /** A gang that has outrun what was expected of it is taken to be half done. */
-export function expectRemainingMs(gang: RunningGang, nowMs: number): number {
+export function estimateRemainingMs(gang: RunningGang, nowMs: number): number {
   if (gang.isStopping) return 0
   const ranMs = Math.max(0, nowMs - (gang.startedAtMs ?? nowMs))
   const leftMs = gang.expectedRunTimeMs - ranMs
--- a/placement/engine/src/placementPolicy.ts
+++ b/placement/engine/src/placementPolicy.ts
@@ -19,16 +19,16 @@
 
   /** Whether these upstreams could hold the gang if nothing else ran. */
   canEverFit(demand: Demand, upstreams: readonly UpstreamView[]): boolean {
-    return fitsOnEmpty(emptyMap(upstreams), demand)
+    return canFitOnEmpty(createEmptyMap(upstreams), demand)
   }
 }
 
 /** All upstreams up, and nothing running. */
-export function emptyMap(upstreams: readonly UpstreamView[]): ClusterMap {
+export function createEmptyMap(upstreams: readonly UpstreamView[]): ClusterMap {
   const emptied = upstreams.map((view): UpstreamView => ({ ...view, state: 'ready' }))
   return new ClusterMap(emptied, [])
 }
 
-export function fitsOnEmpty(map: ClusterMap, demand: Demand): boolean {
+export function canFitOnEmpty(map: ClusterMap, demand: Demand): boolean {
   return fitGang(map, demand, new FirstFitChooser()) !== undefined
 }
--- a/placement/engine/src/placementRound.ts
+++ b/placement/engine/src/placementRound.ts
@@ -11,14 +11,14 @@
   type Block,
   type RunningGang,
 } from '@nettlespur/placement.topology'
-import { ClearChooser } from './clearChooser.js'
+import { PreemptionChooser } from './preemptionChooser.js'
 import { describeBlocks } from './describe.js'
 import { DominantShares } from './dominantShares.js'
 import type { FormingBlocks } from './formingBlocks.js'
 import { measureLostWork } from './measureLostWork.js'
 import type { PlacementDecision, PreemptDecision } from './placementDecision.js'
 import type { PlacementView, WaitingJob } from './placementView.js'
-import { startGang } from './startGang.js'
+import { createPlacedGang } from './createPlacedGang.js'
 import { StartChooser, type StartChooserOptions } from './startChooser.js'
 import { VictimRules, type Claim } from './victimRules.js'
 
@@ -29,7 +29,7 @@
 }
 
 /** A block that can be cleared, and who would have to go. */
-export interface Clearing {
+export interface PreemptionPlan {
   readonly blocks: readonly Block[]
   readonly victims: readonly RunningGang[]
   readonly lostWork: number
@@ -55,22 +55,22 @@
     this.#forming = forming
     this.map = new ClusterMap(view.upstreams, view.running)
     this.contracts = new Map(view.contracts.map((contract) => [contract.workspace, contract]))
-    forming.mark(this.map)
+    forming.markAll(this.map)
     planner.update(this.map, view.contracts)
     const protectedGangs = new Set(view.running.filter((gang) => this.#isWithinGuarantee(gang)))
     const [placedNow, stoppedNow] = [this.#placedNow, this.#stoppedNow]
     this.rules = new VictimRules({
-      largestUpstream: this.map.largestUpstreamSize,
+      largestUpstreamSize: this.map.largestUpstreamSize,
       protectedGangs,
       placedNow,
       stoppedNow,
     })
     this.shares = new DominantShares(this.map, view.contracts)
     for (const gang of view.running) {
-      this.#count(gang.workspace, gang.gang.accelerators)
-      if (!protectedGangs.has(gang)) this.shares.borrow(gang.workspace, gang)
+      this.#addHeld(gang.workspace, gang.gang.accelerators)
+      if (!protectedGangs.has(gang)) this.shares.addBorrowed(gang.workspace, gang)
     }
-    forming.keep({ map: this.map, rules: this.rules }, view.waiting)
+    forming.keepOpenBlocks({ map: this.map, rules: this.rules }, view.waiting)
   }
 
   isUndecided(job: WaitingJob): boolean {
@@ -101,7 +101,7 @@
 
   /** Moves what is reserved for others off these blocks; false where it cannot be kept elsewhere. */
   vacate(job: WaitingJob, blocks: readonly Block[]): boolean {
-    return this.#planner.tryVacate(this.map, startGang(job, blocks))
+    return this.#planner.tryVacate(this.map, createPlacedGang(job, blocks))
   }
 
   hasPlaced(job: WaitingJob): boolean {
@@ -109,7 +109,7 @@
   }
 
   /** Whether a block is set apart for this very job. */
-  ownsForming(job: WaitingJob): boolean {
+  hasFormingBlock(job: WaitingJob): boolean {
     return this.#forming.get(job.jobId) !== undefined
   }
 
@@ -131,34 +131,34 @@
 
   /** Starts the job on these free accelerators. False where guaranteed shapes would suffer. */
   tryStart(job: WaitingJob, blocks: readonly Block[], reason: string): boolean {
-    const gang = startGang(job, blocks)
+    const gang = createPlacedGang(job, blocks)
     if (isUnstoppable(gang) && !this.#planner.tryVacate(this.map, gang)) return false
     this.map.hold(gang)
     this.#placedNow.add(gang)
     this.#forming.release(this.map, job.jobId)
     this.#planner.tryMoveToGang(this.map, gang)
-    this.#count(job.workspace, job.gang.accelerators)
-    if (!this.#isWithinGuarantee(gang)) this.shares.borrow(job.workspace, job)
+    this.#addHeld(job.workspace, job.gang.accelerators)
+    if (!this.#isWithinGuarantee(gang)) this.shares.addBorrowed(job.workspace, job)
     this.decide({ kind: 'place', jobId: job.jobId, blocks, reason })
     return true
   }
 
   /** The block that costs the least to clear. */
-  findClearing(job: WaitingJob, claim: Claim): Clearing | undefined {
+  findPreemption(job: WaitingJob, claim: Claim): PreemptionPlan | undefined {
     const { rules, view } = this
-    const chooser = new ClearChooser({ job, claim, rules, nowMs: view.nowMs })
-    return this.clearBlocks(job, claim, fitGang(this.map, job, chooser))
+    const chooser = new PreemptionChooser({ job, claim, rules, nowMs: view.nowMs })
+    return this.planPreemption(job, claim, fitGang(this.map, job, chooser))
   }
 
   /** Who has to go for this job to have these blocks; undefined where that does not suffice. */
-  clearBlocks(
+  planPreemption(
     job: WaitingJob,
     claim: Claim,
     blocks: readonly Block[] | undefined,
-  ): Clearing | undefined {
+  ): PreemptionPlan | undefined {
     if (blocks === undefined) return undefined
     const victims = new Set<RunningGang>()
-    for (const block of blocks) if (!this.#collect(job, claim, block, victims)) return undefined
+    for (const block of blocks) if (!this.#addVictims(job, claim, block, victims)) return undefined
     let lostWork = 0
     for (const victim of victims) {
       if (!this.rules.isStopping(victim)) lostWork += measureLostWork(victim, this.view.nowMs)
@@ -167,10 +167,10 @@
   }
 
   /** Stops the victims and keeps the blocks for the job, which then waits for them to be gone. */
-  clear(job: WaitingJob, { blocks, victims }: Clearing, why: string): void {
+  preempt(job: WaitingJob, { blocks, victims }: PreemptionPlan, why: string): void {
     const place = describeBlocks(blocks)
-    this.#count(job.workspace, job.gang.accelerators)
-    this.map.visit(blocks, (room, index) => (room.promisedTo[index] = job.jobId))
+    this.#addHeld(job.workspace, job.gang.accelerators)
+    this.map.visit(blocks, (upstream, index) => (upstream.promisedTo[index] = job.jobId))
     for (const victim of victims) {
       if (this.rules.isStopping(victim)) continue
       this.#stoppedNow.add(victim)
@@ -191,32 +191,32 @@
   }
 
   /** Adds who holds the block, and as many more there as its processors and memory need. */
-  #collect(job: WaitingJob, claim: Claim, block: Block, victims: Set<RunningGang>): boolean {
-    const room = this.map.find(block.upstreamId)
-    if (room === undefined) return false
+  #addVictims(job: WaitingJob, claim: Claim, block: Block, victims: Set<RunningGang>): boolean {
+    const upstream = this.map.find(block.upstreamId)
+    if (upstream === undefined) return false
     const { rules } = this
     const need = computeDemandShare(job, block.acceleratorIndexes.length)
-    const candidates = new Set(room.holders.filter((holder) => holder !== undefined))
-    let { freeCpuCores, freeMemoryBytes } = room
+    const candidates = new Set(upstream.holders.filter((holder) => holder !== undefined))
+    let { freeCpuCores, freeMemoryBytes } = upstream
     const add = (gang: RunningGang): void => {
       candidates.delete(gang)
       victims.add(gang)
-      const count = room.holders.filter((holder) => holder === gang).length
+      const count = upstream.holders.filter((holder) => holder === gang).length
       const { cpuCores, memoryBytes } = computeDemandShare(gang, count)
       freeCpuCores += cpuCores
       freeMemoryBytes += memoryBytes
     }
     for (const index of block.acceleratorIndexes) {
-      const holder = room.holders[index]
+      const holder = upstream.holders[index]
       if (holder === undefined || !candidates.has(holder)) continue
-      if (!rules.mayStop(holder, job, claim)) return false
+      if (!rules.canStop(holder, job, claim)) return false
       add(holder)
     }
     const isShort = (): boolean =>
       freeCpuCores < need.cpuCores - tolerance || freeMemoryBytes < need.memoryBytes - tolerance
     const { nowMs } = this.view
     const more = [...candidates]
-      .filter((gang) => rules.mayStop(gang, job, claim))
+      .filter((gang) => rules.canStop(gang, job, claim))
       .sort((left, right) => measureLostWork(left, nowMs) - measureLostWork(right, nowMs))
     for (const gang of more) if (isShort()) add(gang)
     return !isShort()
@@ -224,13 +224,13 @@
 
   #isWithinGuarantee(gang: RunningGang): boolean {
     let isWithin = true
-    this.map.visit(gang.blocks, (room, index) => {
-      isWithin &&= room.reservedFor[index] === gang.workspace
+    this.map.visit(gang.blocks, (upstream, index) => {
+      isWithin &&= upstream.reservedFor[index] === gang.workspace
     })
     return isWithin
   }
 
-  #count(workspace: string, accelerators: number): void {
+  #addHeld(workspace: string, accelerators: number): void {
     this.#heldCounts.set(workspace, this.countHeld(workspace) + accelerators)
   }
 }
--- a/placement/engine/src/placementView.ts
+++ b/placement/engine/src/placementView.ts
@@ -15,7 +15,7 @@
   /** Where the job must not go, such as where it failed before. */
   readonly avoidedUpstreamIds?: ReadonlySet<string>
   /** Set where the job may not be placed yet, in plain words. */
-  readonly heldBack?: string | undefined
+  readonly holdReason?: string | undefined
 }
 
 export interface PlacementView {
--- a/placement/engine/src/clearChooser.ts
+++ b/placement/engine/src/preemptionChooser.ts
@@ -13,35 +13,35 @@
 import type { Claim, VictimRules } from './victimRules.js'
 
 /** Of equal losses, fewer gangs are better, then fewer free accelerators around. */
-const gangCost = 1000
+const victimCost = 1000
 
-export interface ClearChooserOptions {
+export interface PreemptionChooserOptions {
   readonly job: WaitingJob
   readonly claim: Claim
   readonly rules: VictimRules
   readonly nowMs: number
 }
 
-export class ClearChooser extends BlockChooser {
-  readonly #opts: ClearChooserOptions
+export class PreemptionChooser extends BlockChooser {
+  readonly #opts: PreemptionChooserOptions
 
-  constructor(opts: ClearChooserOptions) {
+  constructor(opts: PreemptionChooserOptions) {
     super()
     this.#opts = opts
   }
 
-  isUsable(room: UpstreamCapacity, index: number): boolean {
+  isUsable(upstream: UpstreamCapacity, index: number): boolean {
     const { job, claim, rules } = this.#opts
-    if (!rules.isOpenTo(room, index, job, claim)) return false
-    const holder = room.holders[index]
-    return holder === undefined || rules.mayStop(holder, job, claim)
+    if (!rules.isAvailableTo(upstream, index, job, claim)) return false
+    const holder = upstream.holders[index]
+    return holder === undefined || rules.canStop(holder, job, claim)
   }
 
-  computeCost(room: UpstreamCapacity, from: number, count: number): number {
-    const victims = new Set(room.holders.slice(from, from + count))
-    let rate = room.freeCount
-    for (const victim of victims) if (victim !== undefined) rate += this.#measureLoss(victim)
-    return rate
+  computeCost(upstream: UpstreamCapacity, from: number, count: number): number {
+    const victims = new Set(upstream.holders.slice(from, from + count))
+    let cost = upstream.freeCount
+    for (const victim of victims) if (victim !== undefined) cost += this.#measureLoss(victim)
+    return cost
   }
 
   override computeRackCost(): number {
@@ -49,24 +49,24 @@
   }
 
   /** With the processors and memory of all that may be stopped there. */
-  override countByCpuAndMemory(room: UpstreamCapacity, demand: Demand): number {
+  override countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
     const { job, claim, rules } = this.#opts
-    let cpuCores = room.freeCpuCores
-    let memoryBytes = room.freeMemoryBytes
-    for (const holder of room.holders) {
-      if (holder === undefined || !rules.mayStop(holder, job, claim)) continue
+    let cpuCores = upstream.freeCpuCores
+    let memoryBytes = upstream.freeMemoryBytes
+    for (const holder of upstream.holders) {
+      if (holder === undefined || !rules.canStop(holder, job, claim)) continue
       const share = computeDemandShare(holder, 1)
       cpuCores += share.cpuCores
       memoryBytes += share.memoryBytes
     }
     const byFreed = countByCpuAndMemory(demand, cpuCores, memoryBytes)
     if (job.stoppability !== 'never') return byFreed
-    const spare = measureSpareResources(room, job.workspace)
+    const spare = measureSpareResources(upstream, job.workspace)
     return Math.min(byFreed, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
   #measureLoss(victim: RunningGang): number {
     const { rules, nowMs } = this.#opts
-    return rules.isStopping(victim) ? 0 : measureLostWork(victim, nowMs) + gangCost
+    return rules.isStopping(victim) ? 0 : measureLostWork(victim, nowMs) + victimCost
   }
 }
--- a/placement/engine/src/declarationCorrection.ts
+++ b/placement/engine/src/runTimeCorrection.ts
@@ -7,31 +7,31 @@
 
 /** Ratios are kept in thousandths. */
 const ratioScale = 1000
-const highestRatio = 1_000_000
+const scaledRatioMax = 1_000_000
 const quantilePercent = 60
 /** With fewer jobs than this, declarations are taken as they are. */
-const jobsMin = 10
+const observationsMin = 10
 
-export class DeclarationCorrection {
+export class RunTimeCorrection {
   readonly #ratios = new Map<string, hdr.Histogram>()
 
   observeRunTime(workspace: string, declaredMs: number, neededMs: number): void {
     const ratio = Math.round((neededMs / Math.max(1, declaredMs)) * ratioScale)
-    this.#open(workspace).recordValue(Math.min(Math.max(1, ratio), highestRatio))
+    this.#getOrCreateHistogram(workspace).recordValue(Math.min(Math.max(1, ratio), scaledRatioMax))
   }
 
-  expectRunTimeMs(workspace: string, declaredMs: number): number {
+  estimateRunTimeMs(workspace: string, declaredMs: number): number {
     const ratios = this.#ratios.get(workspace)
-    if (ratios === undefined || ratios.totalCount < jobsMin) return declaredMs
+    if (ratios === undefined || ratios.totalCount < observationsMin) return declaredMs
     return (declaredMs * ratios.getValueAtPercentile(quantilePercent)) / ratioScale
   }
 
-  #open(workspace: string): hdr.Histogram {
+  #getOrCreateHistogram(workspace: string): hdr.Histogram {
     const present = this.#ratios.get(workspace)
     if (present !== undefined) return present
     const created = hdr.build({
       lowestDiscernibleValue: 1,
-      highestTrackableValue: highestRatio,
+      highestTrackableValue: scaledRatioMax,
       numberOfSignificantValueDigits: 2,
     })
     this.#ratios.set(workspace, created)
--- a/placement/engine/src/startChooser.ts
+++ b/placement/engine/src/startChooser.ts
@@ -12,8 +12,8 @@
 import type { WaitingJob } from './placementView.js'
 
 const formingCost = 1_000_000
-const companyGain = 4
-const togetherGain = 4096
+const stoppablePackingGain = 4
+const unstoppablePackingGain = 4096
 
 export interface StartChooserOptions {
   /** Whether the job may start on what forms for another, as it can be stopped for it. */
@@ -35,52 +35,56 @@
     this.#opts = opts
   }
 
-  override isUsable(room: UpstreamCapacity, index: number): boolean {
-    if (!super.isUsable(room, index)) return false
+  override isUsable(upstream: UpstreamCapacity, index: number): boolean {
+    if (!super.isUsable(upstream, index)) return false
     const { job, avoidsReserved, takesReserved } = this.#opts
-    if (job.avoidedUpstreamIds?.has(room.upstreamId) === true) return false
-    const reservedFor = room.reservedFor[index]
-    const isOthers = reservedFor !== undefined && reservedFor !== job.workspace
+    if (job.avoidedUpstreamIds?.has(upstream.upstreamId) === true) return false
+    const reservedFor = upstream.reservedFor[index]
+    const isReservedForOthers = reservedFor !== undefined && reservedFor !== job.workspace
     const mayTake = takesReserved === true
-    if (isOthers && !mayTake && (avoidsReserved === true || job.stoppability === 'never'))
+    if (
+      isReservedForOthers &&
+      !mayTake &&
+      (avoidsReserved === true || job.stoppability === 'never')
+    )
       return false
-    const formingFor = room.formingFor[index]
-    const formsForOther = formingFor !== undefined && formingFor !== job.jobId
-    return !formsForOther || this.#opts.mayBackfill
+    const formingFor = upstream.formingFor[index]
+    const isFormingForOther = formingFor !== undefined && formingFor !== job.jobId
+    return !isFormingForOther || this.#opts.mayBackfill
   }
 
-  override countUsableMax(room: UpstreamCapacity): number {
-    const isAvoided = this.#opts.job.avoidedUpstreamIds?.has(room.upstreamId) === true
-    return isAvoided ? 0 : super.countUsableMax(room)
+  override countUsableMax(upstream: UpstreamCapacity): number {
+    const isAvoided = this.#opts.job.avoidedUpstreamIds?.has(upstream.upstreamId) === true
+    return isAvoided ? 0 : super.countUsableMax(upstream)
   }
 
-  override computeCost(room: UpstreamCapacity, from: number, count: number): number {
+  override computeCost(upstream: UpstreamCapacity, from: number, count: number): number {
     const { job, ownReservedCost = 0 } = this.#opts
-    let rate =
-      super.computeCost(room, from, count) -
-      this.#countCompany(room) *
-        (this.#opts.job.stoppability === 'never' ? togetherGain : companyGain)
+    let cost =
+      super.computeCost(upstream, from, count) -
+      this.#countSameKindHolders(upstream) *
+        (this.#opts.job.stoppability === 'never' ? unstoppablePackingGain : stoppablePackingGain)
     for (let index = from; index < from + count; index += 1) {
-      const formingFor = room.formingFor[index]
-      if (formingFor !== undefined && formingFor !== job.jobId) rate += formingCost
-      if (room.reservedFor[index] === job.workspace) rate += ownReservedCost
+      const formingFor = upstream.formingFor[index]
+      if (formingFor !== undefined && formingFor !== job.jobId) cost += formingCost
+      if (upstream.reservedFor[index] === job.workspace) cost += ownReservedCost
     }
-    return rate
+    return cost
   }
 
-  override countByCpuAndMemory(room: UpstreamCapacity, demand: Demand): number {
-    const byFree = super.countByCpuAndMemory(room, demand)
+  override countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
+    const byFree = super.countByCpuAndMemory(upstream, demand)
     const { job } = this.#opts
     if (job.stoppability !== 'never') return byFree
-    const spare = measureSpareResources(room, job.workspace)
+    const spare = measureSpareResources(upstream, job.workspace)
     return Math.min(byFree, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
   /** Work that cannot be stopped is kept together, away from what is to be reclaimed. */
-  #countCompany(room: UpstreamCapacity): number {
+  #countSameKindHolders(upstream: UpstreamCapacity): number {
     const keepsTogether = this.#opts.job.stoppability === 'never'
     let count = 0
-    for (const holder of room.holders) {
+    for (const holder of upstream.holders) {
       if (holder !== undefined && isUnstoppable(holder) === keepsTogether) count += 1
     }
     return count
--- a/placement/engine/src/victimRules.ts
+++ b/placement/engine/src/victimRules.ts
@@ -7,7 +7,7 @@
 
 export interface VictimRulesOptions {
   /** Gangs of this many accelerators or more make no room for larger ones. */
-  readonly largestUpstream: number
+  readonly largestUpstreamSize: number
   /** Gangs that run within what is guaranteed to their workspace. */
   readonly protectedGangs: ReadonlySet<RunningGang>
   /** Gangs placed in this very round. */
@@ -30,8 +30,8 @@
     return gang.isStopping || this.#opts.stoppedNow.has(gang)
   }
 
-  mayStop(gang: RunningGang, job: WaitingJob, claim: Claim): boolean {
-    const { placedNow, protectedGangs, largestUpstream: largest } = this.#opts
+  canStop(gang: RunningGang, job: WaitingJob, claim: Claim): boolean {
+    const { placedNow, protectedGangs, largestUpstreamSize: largest } = this.#opts
     if (this.isStopping(gang)) return true
     if (gang.stoppability === 'never' || placedNow.has(gang)) return false
     const isOwn = gang.workspace === job.workspace
@@ -51,20 +51,20 @@
 
   /** Whether any gang that a block forms for may stop this job again. */
   mayBackfill({ stoppability, gang }: WaitingJob): boolean {
-    const { largestUpstream } = this.#opts
-    return stoppability !== 'never' && gang.accelerators * formingSizeRatio <= largestUpstream
+    const { largestUpstreamSize } = this.#opts
+    return stoppability !== 'never' && gang.accelerators * formingSizeRatio <= largestUpstreamSize
   }
 
   /** Whether `job` may hold this accelerator once its holder is gone. */
-  isOpenTo(room: UpstreamCapacity, index: number, job: WaitingJob, claim: Claim): boolean {
-    if (job.avoidedUpstreamIds?.has(room.upstreamId) === true) return false
-    const promisedTo = room.promisedTo[index]
+  isAvailableTo(upstream: UpstreamCapacity, index: number, job: WaitingJob, claim: Claim): boolean {
+    if (job.avoidedUpstreamIds?.has(upstream.upstreamId) === true) return false
+    const promisedTo = upstream.promisedTo[index]
     if (promisedTo !== undefined && promisedTo !== job.jobId) return false
-    const reservedFor = room.reservedFor[index]
+    const reservedFor = upstream.reservedFor[index]
     if (claim === 'guaranteed') return reservedFor === job.workspace
-    const isOthers = reservedFor !== undefined && reservedFor !== job.workspace
-    if (isOthers && job.stoppability === 'never') return false
-    const formingFor = room.formingFor[index]
+    const isReservedForOthers = reservedFor !== undefined && reservedFor !== job.workspace
+    if (isReservedForOthers && job.stoppability === 'never') return false
+    const formingFor = upstream.formingFor[index]
     if (formingFor === undefined || formingFor === job.jobId) return true
     return claim === 'urgent' && job.stoppability !== 'never'
   }
--- a/placement/engine/src/workspaceQueues.ts
+++ b/placement/engine/src/workspaceQueues.ts
@@ -23,13 +23,13 @@
 }
 
 /** Runs `serve` on each job; the next one is always of the workspace with the lowest share. */
-export function takeByShare(
+export function serveByShare(
   queues: WorkspaceQueues,
   shares: DominantShares,
   serve: (job: WaitingJob) => void,
 ): void {
   const open = [...queues].map(([workspace, queue]) => {
-    return { workspace, jobs: queue.values(), share: shares.measure(workspace) }
+    return { workspace, jobs: queue.values(), share: shares.computeShare(workspace) }
   })
   while (open.length > 0) {
     let lowest = open[0]
@@ -41,6 +41,6 @@
       continue
     }
     serve(next.value)
-    lowest.share = shares.measure(lowest.workspace)
+    lowest.share = shares.computeShare(lowest.workspace)
   }
 }
--- a/placement/engine/test/tinyCluster.ts
+++ b/placement/engine/test/fakeCluster.ts
@@ -3,7 +3,7 @@
 import { createContract, createUpstreamView } from '@nettlespur/control.fakes'
 import type { RunningGang } from '@nettlespur/placement.topology'
 import {
-  startGang,
+  createPlacedGang,
   type PlacementDecision,
   type PlacementPolicy,
   type PlacementView,
@@ -33,13 +33,13 @@
 }
 
 /** Of 8 accelerators each, three to a rack. */
-export function createRacks(count: number): UpstreamView[] {
+export function createUpstreams(count: number): UpstreamView[] {
   return Array.from({ length: count }, (_, index) =>
     createUpstreamView(`u${index}`, { rack: `r${Math.floor(index / 3)}` }),
   )
 }
 
-export class TinyCluster {
+export class FakeCluster {
   readonly contracts: readonly Contract[]
   readonly #policy: PlacementPolicy
   upstreams: UpstreamView[]
@@ -107,7 +107,7 @@
     const job = this.waiting.find((one) => one.jobId === jobId)
     if (decision.kind === 'place' && job !== undefined) {
       this.end(jobId)
-      this.running.push({ ...startGang(job, decision.blocks), startedAtMs: this.nowMs })
+      this.running.push({ ...createPlacedGang(job, decision.blocks), startedAtMs: this.nowMs })
     }
     if (decision.kind !== 'preempt') return
     this.running = this.running.map((gang) =>
--- a/placement/engine/test/objectivePolicy.test.ts
+++ b/placement/engine/test/objectivePolicy.test.ts
@@ -5,29 +5,29 @@
 import {
   createPolicy,
   measureUnusableShare,
-  startGang,
+  createPlacedGang,
   type PlacementDecision,
   type PlacementView,
 } from '../src/index.js'
-import { createJob } from './tinyCluster.js'
+import { createJob } from './fakeCluster.js'
 
 const contracts = ['a', 'other'].map((workspace) => createContract(workspace))
 const base = { nowMs: 0, upstreamsKnown: true, contracts }
 const sizes = fc.constantFrom(1, 2, 3, 4, 5, 8, 12, 16, 20)
 const adjacencies = fc.constantFrom('upstream' as const, 'rack' as const, 'none' as const)
 
-function createRacks(): PlacementView['upstreams'] {
+function createUpstreams(): PlacementView['upstreams'] {
   return [0, 1, 2, 3, 4, 5].map((index) =>
     createUpstreamView(`u${index}`, { rack: `r${Math.floor(index / 3)}` }),
   )
 }
 
 /** What cannot be stopped, so that nothing makes room. */
-function hold(upstreamId: string, acceleratorIndexes: readonly number[]): RunningGang {
+function createHeldGang(upstreamId: string, acceleratorIndexes: readonly number[]): RunningGang {
   const accelerators = acceleratorIndexes.length
   const gang = { accelerators, adjacency: 'upstream' as const }
   const job = createJob('held', { gang, workspace: 'other', stoppability: 'never' })
-  return startGang(job, [{ upstreamId, acceleratorIndexes }])
+  return createPlacedGang(job, [{ upstreamId, acceleratorIndexes }])
 }
 
 function decide(view: PlacementView): PlacementDecision[] {
@@ -43,8 +43,8 @@
     const waiting = gangs.map((gang, index) => {
       return createJob(`j${index}`, { gang, workspace: index % 2 === 0 ? 'a' : 'other' })
     })
-    const blocks = held.map((index) => hold(`u${Math.floor(index / 8)}`, [index % 8]))
-    return { ...base, upstreams: createRacks(), running: blocks, waiting }
+    const blocks = held.map((index) => createHeldGang(`u${Math.floor(index / 8)}`, [index % 8]))
+    return { ...base, upstreams: createUpstreams(), running: blocks, waiting }
   })
 
 function listPlaced(decisions: readonly PlacementDecision[]) {
@@ -95,16 +95,16 @@
 })
 
 test('a small gang goes where it breaks up the least', (t) => {
-  const held = [hold('u0', [0, 1, 2, 3]), hold('u1', [0, 1, 4, 5, 6, 7])]
+  const held = [createHeldGang('u0', [0, 1, 2, 3]), createHeldGang('u1', [0, 1, 4, 5, 6, 7])]
   const gang = { accelerators: 2, adjacency: 'upstream' as const }
   const waiting = [createJob('j', { gang })]
-  const [decision] = decide({ ...base, upstreams: createRacks(), running: held, waiting })
+  const [decision] = decide({ ...base, upstreams: createUpstreams(), running: held, waiting })
   t.like(decision, { kind: 'place', blocks: [{ upstreamId: 'u1', acceleratorIndexes: [2, 3] }] })
 })
 
 test('small jobs behind a waiting large one do not take the block that forms for it', (t) => {
-  const held = [hold('u0', [0]), hold('u1', [0, 1, 2])]
-  const upstreams = createRacks().slice(0, 2)
+  const held = [createHeldGang('u0', [0]), createHeldGang('u1', [0, 1, 2])]
+  const upstreams = createUpstreams().slice(0, 2)
   const large = createJob('large', { gang: { accelerators: 8, adjacency: 'upstream' } })
   const small = [0, 1, 2, 3, 4, 5, 6].map((index) =>
     createJob(`s${index}`, { workspace: 'other', stoppability: 'never' }),
@@ -123,7 +123,7 @@
 test('jobs beyond the limit of their contract wait and say so; urgent ones come first', (t) => {
   const waiting = [createJob('a'), createJob('b', { urgency: 'urgent' })]
   const limited = [createContract('a', { concurrentAccelerators: 1 })]
-  const view = { ...base, upstreams: createRacks(), running: [], waiting, contracts: limited }
+  const view = { ...base, upstreams: createUpstreams(), running: [], waiting, contracts: limited }
   const [first, second] = decide(view)
   t.like(first, { kind: 'place', jobId: 'b' })
   t.like(second, { kind: 'wait', jobId: 'a' })
@@ -131,7 +131,7 @@
 })
 
 test('a shape that no set of upstreams can hold is told from one that only has to wait', (t) => {
-  const upstreams = createRacks()
+  const upstreams = createUpstreams()
   const canFit = (accelerators: number, adjacency: 'upstream' | 'rack', cpuCores = 0) =>
     createPolicy('completionTime').canEverFit(
       { gang: { accelerators, adjacency }, cpuCores, memoryBytes: 0 },
@@ -145,8 +145,8 @@
 })
 
 test('free accelerators that are not adjacent count as unusable', (t) => {
-  const upstreams = createRacks().slice(0, 1)
-  const held = [hold('u0', [0, 4])]
+  const upstreams = createUpstreams().slice(0, 1)
+  const held = [createHeldGang('u0', [0, 4])]
   const share = (accelerators: number) =>
     measureUnusableShare({ upstreams, running: held }, { accelerators, adjacency: 'upstream' })
   t.is(share(1), 0)
--- a/placement/engine/test/promises.test.ts
+++ b/placement/engine/test/promises.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava'
 import fc from 'fast-check'
 import { createPolicy, type Objective } from '../src/index.js'
-import { createGuaranteed, createJob, createRacks, TinyCluster } from './tinyCluster.js'
+import { createGuaranteed, createJob, createUpstreams, FakeCluster } from './fakeCluster.js'
 
 const objectives: readonly Objective[] = ['completionTime', 'fragmentation']
 const shapes = fc.oneof(
@@ -47,7 +47,7 @@
   | (typeof event extends fc.Arbitrary<infer T> ? T : never)
   | (typeof failure extends fc.Arbitrary<infer T> ? T : never)
 
-function apply(cluster: TinyCluster, happening: Event, number: number): void {
+function apply(cluster: FakeCluster, happening: Event, number: number): void {
   switch (happening.kind) {
     case 'submit':
       cluster.submit(createJob(`j${number}`, happening))
@@ -66,7 +66,7 @@
   }
 }
 
-function endOne(cluster: TinyCluster, of: readonly { jobId: string }[], pick: number): void {
+function endOne(cluster: FakeCluster, of: readonly { jobId: string }[], pick: number): void {
   const job = of[pick % Math.max(1, of.length)]
   if (job !== undefined) cluster.end(job.jobId)
 }
@@ -81,7 +81,7 @@
   test(`${objective}: gangs are placed whole, once, on accelerators that nobody holds`, (t) => {
     const events = fc.array(fc.oneof({ weight: 8, arbitrary: event }, failure), { maxLength: 60 })
     const property = fc.property(contracts, events, (agreed, happenings) => {
-      const cluster = new TinyCluster(createPolicy(objective), agreed, createRacks(6))
+      const cluster = new FakeCluster(createPolicy(objective), agreed, createUpstreams(6))
       happenings.forEach((happening, number) => {
         apply(cluster, happening, number)
         cluster.step()
@@ -102,7 +102,7 @@
     const events = fc.array(event, { maxLength: 80 })
     const property = fc.property(contracts, events, (agreed, happenings) => {
       const policy = createPolicy(objective)
-      const cluster = new TinyCluster(policy, agreed, createRacks(6))
+      const cluster = new FakeCluster(policy, agreed, createUpstreams(6))
       happenings.forEach((happening, number) => {
         apply(cluster, happening, number)
         cluster.step()
@@ -120,7 +120,7 @@
         createGuaranteed('owner', [{ ...gang, count: 1 }]),
         ...['a', 'b', 'c'].map((workspace) => createGuaranteed(workspace, [])),
       ]
-      const cluster = new TinyCluster(createPolicy(objective), agreed, createRacks(3))
+      const cluster = new FakeCluster(createPolicy(objective), agreed, createUpstreams(3))
       happenings.forEach((happening, number) => {
         apply(cluster, happening, number)
         cluster.step()
@@ -146,7 +146,7 @@
     )
     const property = fc.property(mix, (small) => {
       const agreed = ['a', 'b'].map((workspace) => createGuaranteed(workspace, []))
-      const cluster = new TinyCluster(createPolicy(objective), agreed, createRacks(3))
+      const cluster = new FakeCluster(createPolicy(objective), agreed, createUpstreams(3))
       const ends = new Map<string, number>()
       let number = 0
       let hasStarted = false
@@ -182,7 +182,7 @@
 /** Half an hour, in which what cannot be stopped ends too, and time for the victims to stop. */
 const waitStepsMax = 30 + 4
 
-function isUp(cluster: TinyCluster, upstreamId: string): boolean {
+function isUp(cluster: FakeCluster, upstreamId: string): boolean {
   const upstream = cluster.upstreams.find((one) => one.upstreamId === upstreamId)
   return upstream?.state === 'ready'
 }
