--- a/placement/topology/src/block.ts
+++ b/placement/topology/src/block.ts
@@ -1,4 +1,4 @@
-/** Accelerators of one upstream. */
+/** A set of accelerators on one upstream. */
 export interface Block {
   readonly upstreamId: string
   readonly acceleratorIndexes: readonly number[]
--- a/placement/topology/src/clusterMap.ts
+++ b/placement/topology/src/clusterMap.ts
@@ -1,4 +1,4 @@
-/** All upstreams that take work, by rack, with what the running gangs hold of them. */
+/** The upstreams that accept work, by id and rack, with the resources that running gangs hold on them. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { Block } from './block.js'
 import { computeDemandShare } from './demand.js'
@@ -6,13 +6,13 @@
 import { UpstreamCapacity } from './upstreamCapacity.js'
 
 export class ClusterMap {
-  /** In order of their ids. */
+  /** Sorted by upstream id. */
   readonly upstreams: readonly UpstreamCapacity[]
   /** Grouped by data centre and rack. */
   readonly racks: readonly (readonly UpstreamCapacity[])[]
   readonly #byId: ReadonlyMap<string, UpstreamCapacity>
 
-  /** Only upstreams that are ready take new work. */
+  /** Leaves out upstreams that are not ready, since they accept no new work. */
   constructor(upstreams: readonly UpstreamView[], running: readonly RunningGang[]) {
     this.upstreams = upstreams
       .filter((view) => view.state === 'ready')
@@ -27,7 +27,7 @@
     return this.upstreams.reduce((sum, upstream) => sum + upstream.freeCount, 0)
   }
 
-  /** Accelerators of the largest upstream. */
+  /** Number of accelerators of the largest upstream. */
   get largestUpstreamSize(): number {
     return this.upstreams.reduce((most, upstream) => Math.max(most, upstream.size), 0)
   }
@@ -40,7 +40,7 @@
     return this.#byId.get(upstreamId)
   }
 
-  /** Members on upstreams that take no work are left out. */
+  /** Records the gang's resources as in use. Ignores its members on upstreams that are not in the map. */
   hold(gang: RunningGang): void {
     for (const { upstreamId, acceleratorIndexes } of gang.blocks) {
       const upstream = this.#byId.get(upstreamId)
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Runs `visit` on each accelerator of these blocks that is known. */
+  /** Calls `visit` for each accelerator of these blocks that exists in the map. */
   visit(
     blocks: readonly Block[],
     visit: (upstream: UpstreamCapacity, index: number) => void,
--- a/placement/topology/src/demand.ts
+++ b/placement/topology/src/demand.ts
@@ -1,7 +1,7 @@
-/** What a gang asks for, and whether it can be stopped once it runs. */
+/** The resources that a gang requests, and whether it can be stopped once it runs. */
 import type { JobRequest, Shape } from '@nettlespur/api.schemas'
 
-/** Processors and memory are totals over the gang. */
+/** `cpuCores` and `memoryBytes` are totals over all members of the gang. */
 export interface Demand {
   readonly gang: Shape
   readonly cpuCores: number
@@ -9,8 +9,8 @@
 }
 
 /**
- * How a running job can be stopped in bounded time so that it still finishes: after a checkpoint, by
- * running it again from the start, or not at all.
+ * Whether a running job can be preempted within a bounded time and still finish later: `checkpoint` jobs
+ * resume from a checkpoint, `repeat` jobs run again from the start, `never` jobs cannot be preempted.
  */
 export type Stoppability = 'checkpoint' | 'repeat' | 'never'
 
@@ -21,7 +21,7 @@
   return request.repeatable ? 'repeat' : 'never'
 }
 
-/** The part of the processors and memory that falls to `count` accelerators of the gang. */
+/** Computes the processors and memory of `count` members; all members have equal parts. */
 export function computeDemandShare(
   demand: Demand,
   count: number,
--- a/placement/topology/src/firstFitChooser.ts
+++ b/placement/topology/src/firstFitChooser.ts
@@ -1,4 +1,4 @@
-/** Takes the first free accelerators there are: enough where it only matters whether a gang fits. */
+/** Chooses the first free accelerators that fit; used where it only matters whether a gang fits. */
 import { FreeChooser } from './freeChooser.js'
 
 export class FirstFitChooser extends FreeChooser {
--- a/placement/topology/src/fitBlock.ts
+++ b/placement/topology/src/fitBlock.ts
@@ -1,6 +1,6 @@
 /**
- * The best block within one upstream. Blocks of 1, 2, 4 and 8 lie at multiples of their size; other sizes
- * take any run.
+ * Finds the lowest-cost block within one upstream. Blocks of 1, 2, 4 and 8 accelerators start at a multiple
+ * of their size; other sizes use any contiguous run.
  */
 import type { BlockChooser } from './blockChooser.js'
 import type { Demand } from './demand.js'
@@ -15,7 +15,10 @@
   readonly cost: number
 }
 
-/** The best block of `count` accelerators on any of these upstreams; the first of equals. */
+/**
+ * Finds the lowest-cost block of `count` accelerators on any of these upstreams; the first one among blocks
+ * of equal cost. Returns undefined if no upstream has such a block.
+ */
 export function fitBlock(
   upstreams: readonly UpstreamCapacity[],
   demand: Demand,
@@ -42,7 +45,7 @@
   return alignedSizes.has(count)
 }
 
-/** Whether all of these accelerators exist and are usable. */
+/** Whether the `count` accelerators from index `from` all exist and are usable. */
 export function isUsableRun(
   upstream: UpstreamCapacity,
   from: number,
--- a/placement/topology/src/fitGang.ts
+++ b/placement/topology/src/fitGang.ts
@@ -1,4 +1,4 @@
-/** Finds the accelerators of a whole gang by its adjacency. */
+/** Finds accelerators for all members of a gang at once, as near to each other as its adjacency requires. */
 import type { Block } from './block.js'
 import type { BlockChooser } from './blockChooser.js'
 import type { ClusterMap } from './clusterMap.js'
@@ -6,7 +6,7 @@
 import { fitBlock, isUsableRun, type CostedBlock } from './fitBlock.js'
 import type { UpstreamCapacity } from './upstreamCapacity.js'
 
-/** The blocks of the gang, one for each upstream; undefined where it does not fit. */
+/** Returns one block for each upstream that the gang uses, or undefined if the gang does not fit. */
 export function fitGang(
   map: ClusterMap,
   demand: Demand,
@@ -25,7 +25,7 @@
   }
 }
 
-/** Whole upstreams of one rack, and a block of a further one for the rest. */
+/** Finds the rack where whole upstreams, and a block of one more for the remainder, cost the least. */
 function fitRack(
   map: ClusterMap,
   demand: Demand,
@@ -64,7 +64,7 @@
   return rest === undefined ? undefined : [...blocks, rest]
 }
 
-/** Upstreams that are usable as a whole, the largest first, of equal ones the best. */
+/** Lists the upstreams whose accelerators are all usable, sorted by size (largest first), then by cost. */
 function listWholeUpstreams(
   rack: readonly UpstreamCapacity[],
   demand: Demand,
@@ -82,7 +82,10 @@
   return wholes.sort((left, right) => right.count - left.count || left.cost - right.cost)
 }
 
-/** Any accelerators, the best rated first, from as few upstreams as that allows. */
+/**
+ * Takes the accelerators with the lowest cost from any upstreams. Those of equal cost stay in the order of
+ * their upstreams, so that few upstreams are used. Returns undefined if there are not enough.
+ */
 function fitAnywhere(
   upstreams: readonly UpstreamCapacity[],
   demand: Demand,
--- a/placement/topology/src/freeChooser.ts
+++ b/placement/topology/src/freeChooser.ts
@@ -1,9 +1,9 @@
-/** Takes any free accelerator, where it breaks up the least. */
+/** Chooses free accelerators by best fit: from the smallest enclosing free block. */
 import { BlockChooser } from './blockChooser.js'
 import { measureEnclosingBlock } from './measureEnclosingBlock.js'
 import type { UpstreamCapacity } from './upstreamCapacity.js'
 
-/** Weighs the size of the surroundings above the free accelerators of the upstream. */
+/** Makes the size of the enclosing block count before the number of free accelerators of the upstream. */
 const enclosingBlockWeight = 1024
 
 export class FreeChooser extends BlockChooser {
@@ -21,7 +21,7 @@
     return upstream.freeCount
   }
 
-  /** Gangs of several upstreams go to the rack with the least left over. */
+  /** Prefers the rack with the fewest free accelerators for a gang that spans upstreams. */
   override computeRackCost(rack: readonly UpstreamCapacity[]): number {
     return rack.reduce((sum, upstream) => sum + upstream.freeCount, 0)
   }
--- a/placement/topology/src/index.ts
+++ b/placement/topology/src/index.ts
@@ -1,4 +1,4 @@
-/** Accelerators by upstream and rack, who holds them, and which blocks fit a gang. */
+/** The accelerators by upstream and rack, the gangs that hold them, and the search for a gang's blocks. */
 export type { Block } from './block.js'
 export { FirstFitChooser } from './firstFitChooser.js'
 export { BlockChooser } from './blockChooser.js'
--- a/placement/topology/src/measureEnclosingBlock.ts
+++ b/placement/topology/src/measureEnclosingBlock.ts
@@ -1,4 +1,7 @@
-/** Size of the usable surroundings that a block would break up: small ones are best taken first. */
+/**
+ * Size of the usable block that encloses a candidate and would be split by it. Best fit takes candidates in
+ * small enclosing blocks first, so that large blocks stay whole.
+ */
 import type { BlockChooser } from './blockChooser.js'
 import { isAligned, isUsableRun } from './fitBlock.js'
 import type { UpstreamCapacity } from './upstreamCapacity.js'
--- a/placement/topology/src/runningGang.ts
+++ b/placement/topology/src/runningGang.ts
@@ -1,4 +1,4 @@
-/** A gang that holds accelerators: reserving, running, or being stopped. */
+/** A gang that holds accelerators: its members are reserving, running or stopping. */
 import type { Urgency } from '@nettlespur/api.schemas'
 import type { Block } from './block.js'
 import type { Demand, Stoppability } from './demand.js'
@@ -9,14 +9,14 @@
   readonly urgency: Urgency
   readonly stoppability: Stoppability
   readonly blocks: readonly Block[]
-  /** Its accelerators become free without a further decision. */
+  /** Whether it is being stopped: its accelerators become free without a further decision. */
   readonly isStopping: boolean
-  /** Undefined before its start. */
+  /** Undefined until the gang has started. */
   readonly startedAtMs: number | undefined
-  /** Of the newest checkpoint; undefined where there is none. */
+  /** Time of the newest checkpoint; undefined if there is none. */
   readonly checkpointedAtMs: number | undefined
-  /** How long it is expected to run in all, after correction. */
+  /** Expected total run time, after correction of the declared one. */
   readonly expectedRunTimeMs: number
-  /** How often the job was placed, this time included. */
+  /** Number of times the job was placed, including the current placement. */
   readonly attempts: number
 }
--- a/placement/topology/src/upstreamCapacity.ts
+++ b/placement/topology/src/upstreamCapacity.ts
@@ -1,19 +1,19 @@
-/** The accelerators, processors and memory of one upstream, and who has a claim on each accelerator. */
+/** The resources of one upstream, and the gang, workspace or job that holds or reserves each accelerator. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { Demand } from './demand.js'
 import type { RunningGang } from './runningGang.js'
 
-/** Keeps shares such as a third of 1.2 cores from being rounded down by one. */
+/** Prevents a rounding error in a share, such as a third of 1.2 cores, from losing one accelerator. */
 const tolerance = 1e-9
 
 export class UpstreamCapacity {
   readonly view: UpstreamView
   readonly holders: (RunningGang | undefined)[]
-  /** Workspaces whose guaranteed shapes are mapped here. */
+  /** For each accelerator: the workspace that has a guaranteed shape mapped to it. */
   readonly reservedFor: (string | undefined)[]
-  /** Waiting jobs for which accelerators are kept from work that cannot be stopped. */
+  /** For each accelerator: the waiting job whose forming block it belongs to; see `FormingBlocks`. */
   readonly formingFor: (string | undefined)[]
-  /** Waiting jobs that start here as soon as gangs being stopped are gone. */
+  /** For each accelerator: the waiting job that starts on it once the preempted gangs have stopped. */
   readonly promisedTo: (string | undefined)[]
   #freeCount: number
   #freeCpuCores: number
@@ -39,7 +39,7 @@
     return this.holders.length
   }
 
-  /** Accelerators that no gang holds. */
+  /** Number of accelerators that no gang holds. */
   get freeCount(): number {
     return this.#freeCount
   }
@@ -52,7 +52,7 @@
     return this.#freeMemoryBytes
   }
 
-  /** How many accelerators the free processors and memory suffice for, for members of this demand. */
+  /** Number of members of this gang for which the free processors and memory are enough. */
   countByCpuAndMemory(demand: Demand): number {
     return countByCpuAndMemory(demand, this.#freeCpuCores, this.#freeMemoryBytes)
   }
@@ -69,7 +69,7 @@
   }
 }
 
-/** How many accelerators these processors and this memory suffice for, for members of this demand. */
+/** Number of members of this gang for which these processors and this memory are enough; may be infinite. */
 export function countByCpuAndMemory(demand: Demand, cpuCores: number, memoryBytes: number): number {
   const { accelerators } = demand.gang
   const byCpu = divide(cpuCores * accelerators, demand.cpuCores)
