--- a/placement/plan/src/checkPlan.ts
+++ b/placement/plan/src/checkPlan.ts
@@ -1,6 +1,6 @@
 /**
- * Checks a reservation plan against contracts, upstreams and running gangs. Shares no code with the
- * planner: it looks at each accelerator once, and says all that does not hold.
+ * Checks a reservation plan against contracts, upstreams and running gangs, and reports every violation.
+ * Shares no code with the planner, so that a fault in the planner cannot hide itself.
  */
 import type { Contract, UpstreamView } from '@nettlespur/api.schemas'
 import type { Block, RunningGang } from '@nettlespur/placement.topology'
@@ -17,7 +17,7 @@
   readonly detail: string
 }
 
-/** Empty where every guaranteed shape can be reclaimed. */
+/** Returns all faults of the plan; none if every guaranteed shape can be reclaimed. */
 export function checkPlan(cluster: PlannedCluster, plan: ReservationPlan): PlanFault[] {
   const ready = cluster.upstreams.filter((upstream) => upstream.state === 'ready')
   const upstreams = new Map(ready.map((upstream) => [upstream.upstreamId, upstream]))
@@ -59,7 +59,7 @@
       if (other !== undefined) {
         faults.push({
           kind: 'overlap',
-          detail: `${name} is kept for ${other} and ${reservationId}`,
+          detail: `${name} is reserved for ${other} and ${reservationId}`,
         })
       }
       seen.set(name, reservationId)
@@ -85,7 +85,7 @@
       block.acceleratorIndexes.some((i) => i >= (present[at]?.accelerators ?? 0)),
     )
   ) {
-    return fault('an accelerator is not there')
+    return fault('an accelerator does not exist')
   }
   if (shape.adjacency === 'none') return []
   if (shape.adjacency === 'upstream' && blocks.length > 1) return fault('spans upstreams')
@@ -118,7 +118,7 @@
       listAcceleratorNames(gang.blocks)
         .filter((name) => (owners.get(name)?.workspace ?? gang.workspace) !== gang.workspace)
         .map((name): PlanFault => {
-          const detail = `${name}, kept for ${owners.get(name)?.reservationId ?? ''}, is held by ${gang.jobId}`
+          const detail = `${name}, reserved for ${owners.get(name)?.reservationId ?? ''}, is held by ${gang.jobId}`
           return { kind: 'not-reclaimable', detail }
         }),
     )
@@ -129,7 +129,10 @@
   memoryBytes: number
 }
 
-/** Work that cannot be stopped must leave each reserved accelerator its even share. */
+/**
+ * Reports upstreams where unstoppable gangs leave a reserved accelerator less than its even share of the
+ * processors and memory.
+ */
 function findOvercommitted(
   running: readonly RunningGang[],
   plan: ReservationPlan,
@@ -156,14 +159,14 @@
     if (reserved.has(upstreamId) && isOvercommitted) {
       faults.push({
         kind: 'share',
-        detail: `${upstreamId}: its processors or memory do not suffice`,
+        detail: `${upstreamId}: its processors or memory are overcommitted`,
       })
     }
   }
   return faults
 }
 
-/** For sums of fractions. */
+/** Sums of fractional shares may exceed the capacity by a rounding error. */
 const roundingTolerance = 1 + 1e-9
 
 type TotalsByUpstream = Map<string, Map<string, ResourceTotals>>
--- a/placement/plan/src/findInfeasibility.ts
+++ b/placement/plan/src/findInfeasibility.ts
@@ -1,4 +1,4 @@
-/** Whether the guaranteed shapes of a changed contract fit beside all others, and what would. */
+/** Checks whether the guarantees of a changed contract fit beside all others, and finds what would fit. */
 import type { Contract } from '@nettlespur/api.schemas'
 import { ClusterMap } from '@nettlespur/placement.topology'
 import type { PlannedCluster } from './checkPlan.js'
@@ -8,13 +8,13 @@
 
 export interface Infeasibility {
   readonly missing: readonly ReservedShape[]
-  /** In plain words. */
+  /** Which shapes do not fit, as shown to the user. */
   readonly message: string
-  /** What would fit instead, in plain words. */
+  /** What would fit instead, as shown to the user. */
   readonly wouldFit: string
 }
 
-/** Undefined where the change leaves no more guaranteed shapes without accelerators than there are now. */
+/** Returns undefined if the change leaves no more guaranteed shapes unmapped than there are now. */
 export function findInfeasibility(
   cluster: PlannedCluster,
   changed: Contract,
@@ -37,7 +37,10 @@
   return new ReservationPlanner().update(new ClusterMap(upstreams, running), contracts).missing
 }
 
-/** For each guarantee that lacks accelerators: how often it fits, and the largest shape that fits once. */
+/**
+ * Describes, for each guarantee that does not fit, the highest count that would; if not even one shape fits,
+ * the largest smaller shape that would fit once.
+ */
 function describeWouldFit(
   cluster: PlannedCluster,
   others: readonly Contract[],
@@ -62,7 +65,10 @@
   return parts.length === 0 ? 'the contract as it was' : parts.join(', ')
 }
 
-/** The largest of 1 to `most` that `fits`; 0 where none does. Larger numbers never fit better. */
+/**
+ * Finds by bisection the largest value from 1 to `most` that fits; 0 if none does. Expects that every
+ * value below one that fits does fit too.
+ */
 function findLargest(most: number, fits: (value: number) => boolean): number {
   let low = 0
   let high = most
--- a/placement/plan/src/index.ts
+++ b/placement/plan/src/index.ts
@@ -1,4 +1,4 @@
-/** Keeps each guaranteed shape mapped to accelerators that can be reclaimed. */
+/** Maps each guaranteed shape to accelerators that its workspace can reclaim at any time. */
 export { checkPlan, type PlanFault, type PlannedCluster } from './checkPlan.js'
 export { findInfeasibility, type Infeasibility } from './findInfeasibility.js'
 export {
--- a/placement/plan/src/measureSpareResources.ts
+++ b/placement/plan/src/measureSpareResources.ts
@@ -1,6 +1,6 @@
 /**
- * A reserved accelerator keeps its even share of its upstream's processors and memory. What work that
- * cannot be stopped may still use is what remains after these shares.
+ * Each reserved accelerator also reserves an even share of its upstream's processors and memory.
+ * Unstoppable gangs may only use what remains after these shares.
  */
 import {
   computeDemandShare,
@@ -19,7 +19,10 @@
   reservedCount: number
 }
 
-/** Below zero where shares are overdrawn. Counts what `workspace` has reserved here as its own to use. */
+/**
+ * Processors and memory that unstoppable gangs of `workspace` may still use on this upstream, including the
+ * workspace's own reserved share. Negative if the upstream is overcommitted.
+ */
 export function measureSpareResources(
   upstream: UpstreamCapacity,
   workspace: string,
@@ -35,7 +38,7 @@
   return spare
 }
 
-/** Whether shares stay covered once `count` more accelerators here are reserved for `workspace`. */
+/** Whether the upstream has the processors and memory to reserve `count` more accelerators for `workspace`. */
 export function canReserveShare(
   upstream: UpstreamCapacity,
   workspace: string,
@@ -54,10 +57,10 @@
   return cpuCores <= view.cpuCores + tolerance && memoryBytes <= view.memoryBytes + tolerance
 }
 
-/** Shares are sums of fractions. */
+/** Sums of fractional shares may exceed the capacity by a rounding error. */
 const tolerance = 1e-6
 
-/** What each workspace has reserved, and what its work that cannot be stopped uses. */
+/** For each workspace: its reserved accelerators, and the resources that its unstoppable gangs use. */
 function collectUsages(upstream: UpstreamCapacity): Map<string, Usage> {
   const usages = new Map<string, Usage>()
   for (let index = 0; index < upstream.size; index += 1) {
--- a/placement/plan/src/reservation.ts
+++ b/placement/plan/src/reservation.ts
@@ -1,8 +1,8 @@
-/** Guaranteed shapes and the accelerators they are mapped to. */
+/** Guaranteed shapes, and the reservations that map them to accelerators. */
 import type { Contract, Shape } from '@nettlespur/api.schemas'
 import type { Block } from '@nettlespur/placement.topology'
 
-/** One guaranteed shape of one contract; a guarantee of count 3 gives three. */
+/** One guaranteed shape of one contract; a guarantee with a count of 3 yields three of them. */
 export interface ReservedShape {
   readonly reservationId: string
   readonly workspace: string
@@ -15,13 +15,13 @@
 
 export interface ReservationPlan {
   readonly reservations: readonly Reservation[]
-  /** Guaranteed shapes that no accelerators can be kept for now. */
+  /** Guaranteed shapes for which no accelerators can be reserved at present. */
   readonly missing: readonly ReservedShape[]
 }
 
 export const emptyPlan: ReservationPlan = { reservations: [], missing: [] }
 
-/** Ids stay the same when counts or other guarantees change. */
+/** Ids are stable: a shape keeps its id when counts or other guarantees change. */
 export function listReservedShapes(contracts: readonly Contract[]): ReservedShape[] {
   return contracts.flatMap(listShapesOfContract)
 }
@@ -41,7 +41,7 @@
   return shapes
 }
 
-/** Such as `2 x 8 (upstream) for demo`. */
+/** Formats shapes for messages, such as `2 x 8 (upstream) for demo`. */
 export function describeShapes(shapes: readonly ReservedShape[]): string {
   const counts = new Map<string, number>()
   for (const { workspace, shape } of shapes) {
--- a/placement/plan/src/reservationChooser.ts
+++ b/placement/plan/src/reservationChooser.ts
@@ -1,4 +1,7 @@
-/** Where a guaranteed shape may be mapped to, and where best: on its own work, then on free accelerators. */
+/**
+ * Chooses the accelerators that a guaranteed shape is mapped to: preferably those that its workspace already
+ * uses, then free ones, then those that other workspaces borrow.
+ */
 import {
   BlockChooser,
   type ClusterMap,
@@ -10,7 +13,7 @@
 const ownUseGain = 1_000_000
 const borrowedCost = 1000
 const formingCost = 10_000
-/** Weighs whole racks above single upstreams. */
+/** Makes packing reservations into few racks count more than packing them into few upstreams. */
 const rackWeight = 10
 
 export class ReservationChooser extends BlockChooser {
@@ -45,12 +48,12 @@
     return cost
   }
 
-  /** Racks that keep something already come first, so that others stay open to large gangs. */
+  /** Prefers racks that already have reservations, so that other racks stay free for large gangs. */
   override computeRackCost(rack: readonly UpstreamCapacity[]): number {
     return rack.reduce((sum, upstream) => sum + countUnreserved(upstream), 0)
   }
 
-  /** Processors and memory are kept by even shares, whatever stoppable work uses now. */
+  /** Counts by even shares; what stoppable gangs use does not matter, since it can be reclaimed. */
   override countByCpuAndMemory(upstream: UpstreamCapacity, { gang }: Demand): number {
     let count = Math.min(upstream.size, gang.accelerators)
     while (count > 0 && !canReserveShare(upstream, this.#workspace, count)) count -= 1
@@ -62,7 +65,7 @@
   }
 }
 
-/** Reservations are packed together, so that whole upstreams stay without any. */
+/** A low count is preferred, which packs reservations together and keeps other upstreams free of them. */
 function countUnreserved(upstream: UpstreamCapacity): number {
   return upstream.reservedFor.filter((workspace) => workspace === undefined).length
 }
--- a/placement/plan/src/reservationPlanner.ts
+++ b/placement/plan/src/reservationPlanner.ts
@@ -1,7 +1,7 @@
 /**
- * Maps every guaranteed shape to accelerators of its own, each of which is free, used by its workspace, or
- * used only by work that can be stopped. A mapping is kept for as long as it holds; what breaks is mapped
- * anew, and only where that fails is the whole plan made afresh.
+ * Maps every guaranteed shape to its own accelerators, each of which is free, used by the same workspace, or
+ * used by a gang that can be stopped. A valid reservation stays where it is; an invalid one is mapped again,
+ * and if that fails the whole plan is rebuilt.
  */
 import type { Contract, Shape } from '@nettlespur/api.schemas'
 import {
@@ -20,7 +20,7 @@
 import { isSameShape } from './isSameShape.js'
 import { ReservationChooser } from './reservationChooser.js'
 
-/** Orders tried where the plain one leaves shapes without accelerators. */
+/** Number of orders of the shapes that a rebuild tries. */
 const rebuildAttemptsMax = 8
 
 export class ReservationPlanner {
@@ -31,7 +31,7 @@
     return { reservations: [...this.#byId.values()], missing: this.#missing }
   }
 
-  /** Brings the plan up to date with this map, and marks it there. */
+  /** Updates the plan for this map and these contracts, and marks the reservations in the map. */
   update(map: ClusterMap, contracts: readonly Contract[]): ReservationPlan {
     const shapes = listReservedShapes(contracts)
     const broken = this.#keepValidReservations(map, shapes)
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Gives up these accelerators for work that cannot be stopped, where all reservations on them can be
-   * mapped elsewhere. False leaves the plan as it was.
+   * Moves other workspaces' reservations off the accelerators of this unstoppable gang. Returns false, with
+   * the plan unchanged, if one fits nowhere else or the gang would lack processors or memory.
    */
   tryVacate(map: ClusterMap, gang: RunningGang): boolean {
     const overlapping = this.#listOverlapping(map, gang)
@@ -58,7 +58,7 @@
     return false
   }
 
-  /** Moves a reservation of this very shape, unused so far, to where the workspace's gang now runs. */
+  /** Moves an unused reservation of the same workspace and shape to the gang's accelerators, if it can. */
   tryMoveToGang(map: ClusterMap, gang: RunningGang): boolean {
     if (!isUnreserved(map, gang.blocks)) return false
     const unused = [...this.#byId.values()].find(
@@ -80,7 +80,7 @@
     return false
   }
 
-  /** The shapes whose former mapping no longer holds. */
+  /** Keeps the reservations that are still valid, and returns the shapes that have none. */
   #keepValidReservations(map: ClusterMap, shapes: readonly ReservedShape[]): ReservedShape[] {
     const former = this.#byId
     this.#byId = new Map()
@@ -94,7 +94,7 @@
     return broken
   }
 
-  /** Returns those for which there is no place. */
+  /** Maps the shapes, the largest first, and returns those that do not fit. */
   #mapShapes(map: ClusterMap, shapes: readonly ReservedShape[]): ReservedShape[] {
     return sortLargestFirst(shapes).filter((shape) => !this.#tryMap(map, shape))
   }
@@ -107,7 +107,7 @@
     return true
   }
 
-  /** Keeps the attempt that leaves the least out; shapes left out come first in the next attempt. */
+  /** Keeps the attempt that misses the fewest accelerators; each puts first what the last one missed. */
   #rebuildPlan(map: ClusterMap, shapes: readonly ReservedShape[]): void {
     let best = { byId: this.#byId, missing: this.#missing }
     let order = sortLargestFirst(shapes)
@@ -186,7 +186,7 @@
   return shapes.reduce((sum, { shape }) => sum + shape.accelerators, 0)
 }
 
-/** Whether the reservation may lie where it says: all there, usable, and with its share. */
+/** Whether all accelerators of the reservation exist and are usable, with enough processors and memory. */
 function canReserve(map: ClusterMap, { workspace, blocks }: Reservation): boolean {
   const chooser = new ReservationChooser(map, workspace)
   return blocks.every(({ upstreamId, acceleratorIndexes }) => {
@@ -203,7 +203,7 @@
   return workspace === gang.workspace && isSameShape(shape, gang.gang)
 }
 
-/** Whether its workspace runs there, or is about to. */
+/** Whether a gang of the workspace holds one of the accelerators, or one is promised to a waiting job. */
 function isUsedByOwner(map: ClusterMap, { workspace, blocks }: Reservation): boolean {
   let isUsed = false
   map.visit(blocks, (upstream, index) => {
--- a/placement/plan/test/reservationPlanner.test.ts
+++ b/placement/plan/test/reservationPlanner.test.ts
@@ -37,7 +37,7 @@
 
 const whole = { accelerators: 8, adjacency: 'upstream' as const, count: 1 }
 
-test('a plan that the planner calls complete holds for the independent checker', (t) => {
+test('the independent checker finds no fault in a plan but the shapes that the planner reports missing', (t) => {
   const held = fc.uniqueArray(
     fc.record({
       at: fc.nat(23),
@@ -70,7 +70,7 @@
   fc.assert(property)
 })
 
-test('a shape moves off an upstream that goes, and is told missing when none is left', (t) => {
+test('a reservation moves off an upstream that is gone, and is missing when no upstream is left', (t) => {
   const planner = new ReservationPlanner()
   const contracts = [createGuaranteed('a', [whole])]
   const [first] = planner.update(new ClusterMap(upstreams, []), contracts).reservations
@@ -82,7 +82,7 @@
   t.is(planner.update(new ClusterMap(left, []), contracts).missing.length, 0)
 })
 
-test('the checker objects to overlaps, parts of shapes and holders that cannot be stopped', (t) => {
+test('the checker reports overlaps, incomplete shapes and unstoppable holders', (t) => {
   const contracts = [createGuaranteed('a', [whole]), createGuaranteed('b', [whole])]
   const kinds = (running: RunningGang[], acceleratorIndexes: number[]): string[] => {
     const reservations = contracts.map(({ workspace }) => ({
@@ -108,7 +108,7 @@
   )
 })
 
-test('a contract that does not fit beside the others is refused, with what would fit', (t) => {
+test('a contract that does not fit beside the others is infeasible, and the result says what would fit', (t) => {
   const contracts = [createGuaranteed('a', [{ ...whole, count: 2 }])]
   const cluster = { contracts, upstreams, running: [] }
   t.is(findInfeasibility(cluster, createGuaranteed('b', [whole])), undefined)
@@ -118,7 +118,7 @@
   t.is(findInfeasibility(busy, createGuaranteed('b', [whole]))?.wouldFit, '1 x 7 (upstream)')
 })
 
-test('a change that takes nothing more passes also while failures leave shapes missing', (t) => {
+test('a change that guarantees no more than before is feasible even while shapes are missing', (t) => {
   const contracts = [createGuaranteed('a', [{ ...whole, count: 2 }])]
   const cluster = { contracts, upstreams: upstreams.slice(0, 1), running: [] }
   t.is(findInfeasibility(cluster, createGuaranteed('a', [whole])), undefined)
