--- a/placement/engine/src/completionTimePolicy.ts
+++ b/placement/engine/src/completionTimePolicy.ts
@@ -1,6 +1,6 @@
 /**
- * Favours short completion times: of each workspace's jobs the one whose wait is longest for its expected
- * work comes first, so that small and short jobs pass others and none is passed for ever.
+ * Favours short completion times: orders the jobs of a workspace by wait relative to expected work. Small and
+ * short jobs overtake others, and no job starves, since its rank improves as it waits.
  */
 import { ObjectivePolicy } from './objectivePolicy.js'
 import type { WaitingJob } from './placementView.js'
--- a/placement/engine/src/createPlacedGang.ts
+++ b/placement/engine/src/createPlacedGang.ts
@@ -1,4 +1,4 @@
-/** A waiting job as it is once placed, before its start. */
+/** Creates the running gang that a waiting job becomes when it is placed; it has not started yet. */
 import type { Block, RunningGang } from '@nettlespur/placement.topology'
 import type { WaitingJob } from './placementView.js'
 
--- a/placement/engine/src/createPolicy.ts
+++ b/placement/engine/src/createPolicy.ts
@@ -1,4 +1,4 @@
-/** The policy for the objective that the settings name. */
+/** Creates the placement policy for the objective given in the settings. */
 import { CompletionTimePolicy } from './completionTimePolicy.js'
 import { FragmentationPolicy } from './fragmentationPolicy.js'
 import type { PlacementPolicy } from './placementPolicy.js'
--- a/placement/engine/src/describe.ts
+++ b/placement/engine/src/describe.ts
@@ -1,4 +1,4 @@
-/** How gangs and blocks are told in reasons. */
+/** Describes gangs and blocks in the reasons of decisions. */
 import type { Block, Demand } from '@nettlespur/placement.topology'
 
 export function describeGang({ gang }: Demand): string {
--- a/placement/engine/src/dominantShares.ts
+++ b/placement/engine/src/dominantShares.ts
@@ -1,6 +1,6 @@
 /**
- * Weighted dominant resource fairness: of accelerators, processors and memory, the one a workspace has
- * borrowed the largest share of counts, divided by its weight.
+ * Weighted dominant resource fairness (DRF) over borrowed resources: a workspace's dominant share is the
+ * largest of its shares of accelerators, processors and memory, divided by its weight.
  */
 import type { Contract } from '@nettlespur/api.schemas'
 import type { ClusterMap, Demand } from '@nettlespur/placement.topology'
--- a/placement/engine/src/formingBlocks.ts
+++ b/placement/engine/src/formingBlocks.ts
@@ -1,20 +1,21 @@
 /**
- * Blocks set apart for waiting gangs: only work that can be stopped starts there until the gang does. A
- * block stays with its gang for as long as it can, so that the time until it is free only shrinks.
+ * Forming blocks: accelerators set apart for large waiting gangs until all of them are free. Meanwhile, only
+ * jobs that can be stopped for the gang are backfilled there. A gang keeps its block as long as possible, so
+ * that the time until the block is free only decreases.
  */
 import { fitGang, type Block, type ClusterMap } from '@nettlespur/placement.topology'
 import { FormingChooser } from './formingChooser.js'
 import type { WaitingJob } from './placementView.js'
 import type { VictimRules } from './victimRules.js'
 
-/** Share of all accelerators that may be set apart at once; one block may be whatever its size. */
+/** Share of all accelerators that may be set apart at once; a single block may exceed it. */
 const formingShareMax = 0.5
 
 export interface FormingContext {
   readonly map: ClusterMap
   readonly rules: VictimRules
   readonly nowMs: number
-  /** Moves what is reserved for others off these blocks, if that can be. */
+  /** Moves reservations of other workspaces off these blocks; returns false if that is impossible. */
   readonly vacate: (job: WaitingJob, blocks: readonly Block[]) => boolean
 }
 
@@ -25,14 +26,14 @@
     return this.#byJobId.get(jobId)
   }
 
-  /** Marks in the map what was set apart, so that reservations are not moved there. */
+  /** Marks all forming blocks in the map, so that the planner avoids mapping reservations to them. */
   markAll(map: ClusterMap): void {
     for (const [jobId, blocks] of this.#byJobId) {
       map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = jobId))
     }
   }
 
-  /** Marks in the map what is still set apart, and forgets the rest. */
+  /** Keeps the blocks that their waiting jobs can still use, marks them in the map, and drops the others. */
   keepOpenBlocks(
     { map, rules }: Pick<FormingContext, 'map' | 'rules'>,
     waiting: readonly WaitingJob[],
@@ -48,7 +49,10 @@
     }
   }
 
-  /** Sets the block apart that will be free soonest; undefined where enough is set apart already. */
+  /**
+   * Sets apart the block that is expected to be free soonest. Returns undefined if none fits, or if too many
+   * accelerators are set apart already.
+   */
   formBlock(site: FormingContext, job: WaitingJob): readonly Block[] | undefined {
     const { map, rules, nowMs } = site
     const total = this.#countAccelerators() + job.gang.accelerators
@@ -59,7 +63,7 @@
     return blocks
   }
 
-  /** Gives up the block of a gang that has started. */
+  /** Removes the forming block of a job, once it has started. */
   release(map: ClusterMap, jobId: string): void {
     const blocks = this.#byJobId.get(jobId)
     if (blocks === undefined) return
@@ -67,7 +71,7 @@
     map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = undefined))
   }
 
-  /** A block on which others have reservations, once these are moved. */
+  /** Finds a block for an unstoppable job among others' reservations, and moves these elsewhere. */
   #findReservedBlocks(
     { map, rules, nowMs, vacate }: FormingContext,
     job: WaitingJob,
@@ -93,7 +97,7 @@
   }
 }
 
-/** Whether all of it is still there, and neither reserved nor set apart for another. */
+/** Whether all accelerators of the blocks still exist and are still available to the job. */
 function isOpen(
   map: ClusterMap,
   blocks: readonly Block[],
--- a/placement/engine/src/formingChooser.ts
+++ b/placement/engine/src/formingChooser.ts
@@ -1,6 +1,6 @@
 /**
- * The block that will be free soonest for a job that has to wait: what can be stopped counts little, what
- * cannot by how long it is expected to run.
+ * Chooses the block that is expected to be free soonest for a waiting job. A gang that the job may preempt
+ * costs the work it would lose; any other gang costs its expected remaining run time.
  */
 import {
   BlockChooser,
@@ -47,7 +47,7 @@
     return 0
   }
 
-  /** As if nothing else ran there. */
+  /** Counts all processors and memory of the upstream, since its running gangs will have ended. */
   override countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
     return countByCpuAndMemory(demand, upstream.view.cpuCores, upstream.view.memoryBytes)
   }
--- a/placement/engine/src/fragmentationPolicy.ts
+++ b/placement/engine/src/fragmentationPolicy.ts
@@ -1,4 +1,4 @@
-/** Favours whole blocks: of each workspace's jobs the largest comes first, then the longest-waiting. */
+/** Favours low fragmentation: the largest job of a workspace comes first, then the longest-waiting. */
 import { ObjectivePolicy } from './objectivePolicy.js'
 import type { WaitingJob } from './placementView.js'
 
--- a/placement/engine/src/index.ts
+++ b/placement/engine/src/index.ts
@@ -1,4 +1,4 @@
-/** Where gangs are placed, and why those that wait are waiting. */
+/** Decides where gangs are placed and which are preempted, and gives the reason why others wait. */
 export { createPolicy, type Objective } from './createPolicy.js'
 export { RunTimeCorrection } from './runTimeCorrection.js'
 export { measureUnusableShare } from './measureFragmentation.js'
--- a/placement/engine/src/jobAdmission.ts
+++ b/placement/engine/src/jobAdmission.ts
@@ -1,6 +1,6 @@
 /**
- * Which waiting jobs are considered at all in a round, and why the others are not. Remembers which shapes
- * have found no room, since room only shrinks while a round lasts.
+ * Decides which waiting jobs are considered in a round, and gives the reason why others are not. Caches
+ * failed searches by shape, since free capacity only decreases during a round.
  */
 import { describeBlocks, describeGang } from './describe.js'
 import { createEmptyMap, canFitOnEmpty } from './placementPolicy.js'
@@ -8,15 +8,15 @@
 import type { WaitingJob } from './placementView.js'
 import type { Block, ClusterMap } from '@nettlespur/placement.topology'
 
-/** A shape that no known upstreams could hold for this long is given up on. */
+/** A job that no set of known upstreams can hold is refused after waiting this long. */
 const refuseInfeasibleAfterMs = 600_000
-/** Keeps a reservation whole for gangs of its own shape. */
+/** Cost that keeps gangs of other shapes from splitting a reservation. */
 const breaksReservationCost = 100_000
 
 export class JobAdmission {
   readonly #round: PlacementRound
   #emptyMap: ClusterMap | undefined
-  /** Workspaces and shapes of which no reservation is unused. */
+  /** Keys of workspace and shape that have no unused reservation. */
   readonly #shapesWithoutUnused = new Set<string>()
   readonly #failedSearches = new Set<string>()
   readonly #feasibleByDemand = new Map<string, boolean>()
@@ -29,7 +29,7 @@
     this.#guaranteedCounts = countGuaranteed(round)
   }
 
-  /** Decides on jobs that cannot run now whatever is free. */
+  /** Returns false, and records a decision, if the job cannot start now whatever is free. */
   tryAdmit(job: WaitingJob): boolean {
     const { jobId, holdReason } = job
     if (holdReason !== undefined) {
@@ -42,7 +42,10 @@
     return false
   }
 
-  /** Whether the job is undecided and its workspace is below its limit. */
+  /**
+   * Returns false if the job is decided already or would exceed its workspace's limit of accelerators. In the
+   * latter case the job is decided to wait.
+   */
   tryAdmitWithinLimit(job: WaitingJob): boolean {
     const round = this.#round
     if (!round.isUndecided(job)) return false
@@ -54,7 +57,10 @@
     return false
   }
 
-  /** Looks for room unless the same shape has found none before in this round. */
+  /**
+   * Runs the search, or returns undefined at once if it has failed before in this round for a job of the same
+   * workspace, stoppability and demand. Jobs that avoid upstreams or have a forming block share no result.
+   */
   searchOnce<T>(searchName: string, job: WaitingJob, find: () => T | undefined): T | undefined {
     const isSpecial = job.avoidedUpstreamIds !== undefined || this.#round.hasFormingBlock(job)
     const name = `${searchName} ${buildSearchKey(job)}${isSpecial ? job.jobId : ''}`
@@ -64,7 +70,10 @@
     return found
   }
 
-  /** Whether what the plan keeps for the workspace is large enough for this job, beside what it runs. */
+  /**
+   * Whether the workspace's guarantees cover this job: an unused reservation has its shape, or the
+   * accelerators held by the workspace would not exceed the guaranteed number.
+   */
   isWithinGuarantee(job: WaitingJob): boolean {
     const guaranteed = this.#guaranteedCounts.get(job.workspace) ?? 0
     if (guaranteed === 0) return false
@@ -77,7 +86,7 @@
     return this.#hasOwnReservation(job) ? -breaksReservationCost : breaksReservationCost
   }
 
-  /** Gangs that fill an upstream or more have blocks set apart for them. */
+  /** Whether a block may be set apart for the job: only if it is as large as the largest upstream. */
   canForm(job: WaitingJob): boolean {
     return job.gang.accelerators >= this.#largestUpstreamSize && this.isFeasible(job)
   }
@@ -90,11 +99,12 @@
       this.#round.decide({ kind: 'wait', jobId, reason })
       return
     }
-    const keeps = forming === undefined ? '' : `; ${describeBlocks(forming)} forms for it`
+    const keeps = forming === undefined ? '' : `; ${describeBlocks(forming)} is set apart for it`
     const reason = `no room for ${asked}${keeps}`
     this.#round.decide({ kind: 'wait', jobId, reason })
   }
 
+  /** Whether the job would fit if all known upstreams were ready and no other gang ran. */
   isFeasible(job: WaitingJob): boolean {
     const name = buildDemandKey(job)
     const known = this.#feasibleByDemand.get(name)
--- a/placement/engine/src/measureFragmentation.ts
+++ b/placement/engine/src/measureFragmentation.ts
@@ -1,9 +1,9 @@
-/** How much of the free capacity is of no use to a shape, because it is not adjacent. */
+/** Measures fragmentation: the share of free accelerators that a shape cannot use. */
 import type { Shape } from '@nettlespur/api.schemas'
 import { ClusterMap, fitGang, FreeChooser, type RunningGang } from '@nettlespur/placement.topology'
 import type { PlacementView } from './placementView.js'
 
-/** Between 0 and 1; 0 where nothing is free. */
+/** Returns a share from 0 to 1; 0 if no accelerator is free. */
 export function measureUnusableShare(
   view: Pick<PlacementView, 'upstreams' | 'running'>,
   gang: Shape,
--- a/placement/engine/src/measureLostWork.ts
+++ b/placement/engine/src/measureLostWork.ts
@@ -1,13 +1,13 @@
-/** What stopping a running gang would lose, and how long it may still run. */
+/** Estimates the work lost by stopping a running gang, and its remaining run time. */
 import type { RunningGang } from '@nettlespur/placement.topology'
 
-/** Time a checkpoint takes, and time a stopped job takes to get going again; both rough. */
+/** Rough estimates of the time to take a checkpoint, and to restart a stopped job. */
 const checkpointMs = 15_000
 const restartMs = 15_000
 
 /**
- * Accelerator time in milliseconds. It grows with each attempt, so that no job is stopped for ever; what
- * stops anyway loses nothing more.
+ * Returns the lost accelerator time in milliseconds. It is multiplied by the number of attempts, so that no
+ * job is preempted again and again. A gang that is already stopping loses nothing more.
  */
 export function measureLostWork(gang: RunningGang, nowMs: number): number {
   if (gang.isStopping || gang.startedAtMs === undefined) return 0
@@ -16,7 +16,7 @@
   return gang.gang.accelerators * (lostMs + restartMs) * Math.max(1, gang.attempts)
 }
 
-/** A gang that has outrun what was expected of it is taken to be half done. */
+/** A gang that has exceeded its expected run time is assumed to be half done. */
 export function estimateRemainingMs(gang: RunningGang, nowMs: number): number {
   if (gang.isStopping) return 0
   const ranMs = Math.max(0, nowMs - (gang.startedAtMs ?? nowMs))
--- a/placement/engine/src/objectivePolicy.ts
+++ b/placement/engine/src/objectivePolicy.ts
@@ -1,7 +1,7 @@
 /**
- * The order of every round: work within its workspace's guarantee, urgent work, the blocks that form for
- * waiting gangs, and then borrowed capacity by weighted dominant resource fairness. What the two objectives
- * weigh differently is left to them.
+ * The common order of a round for both objectives: jobs within their workspace's guarantee, urgent jobs,
+ * gangs with forming blocks, then jobs on borrowed capacity by weighted dominant resource fairness.
+ * Subclasses set the rank of jobs and how much work a preemption may lose.
  */
 import { checkPlan, ReservationPlanner, type ReservationPlan } from '@nettlespur/placement.plan'
 import type { Block } from '@nettlespur/placement.topology'
@@ -14,9 +14,9 @@
 import type { PlacementView, WaitingJob } from './placementView.js'
 import { sortIntoQueues, serveByShare } from './workspaceQueues.js'
 
-/** After this wait the longest-waiting gang's forming block is cleared whatever the work lost. */
+/** After this wait, the longest-waiting gang may preempt others regardless of the work lost. */
 const formingWaitMaxMs = 1_800_000
-/** Gangs of one workspace, and of all, that may have a block set apart; the longest-waiting ones. */
+/** Limits on forming blocks, for each workspace and in total; the longest-waiting gangs get them. */
 const formingPerWorkspaceMax = 2
 const formingMax = 6
 
@@ -24,10 +24,10 @@
   readonly #planner = new ReservationPlanner()
   readonly #forming = new FormingBlocks()
 
-  /** Lower is served earlier among the normal jobs of one workspace. */
+  /** Rank of a normal job within its workspace; lower ranks are served first. */
   protected abstract rank(job: WaitingJob, nowMs: number): number
 
-  /** How many times the accelerator time it has waited a gang may make others lose. */
+  /** Work that a gang's preemptions may lose, as a multiple of its own wait times its accelerators. */
   protected abstract readonly lostWorkRatioMax: number
 
   override get plan(): ReservationPlan {
@@ -61,7 +61,7 @@
     if (admission.tryAdmitWithinLimit(job)) this.#placeWithinGuarantee(round, admission, job)
   }
 
-  /** On free accelerators if there are any; else what the plan keeps is reclaimed. */
+  /** Uses free accelerators if the job fits; otherwise reclaims the accelerators reserved for it. */
   #placeWithinGuarantee(round: PlacementRound, admission: JobAdmission, job: WaitingJob): boolean {
     if (!admission.isWithinGuarantee(job)) return false
     const opts = { avoidsReserved: true, ownReservedCost: admission.computeOwnReservedCost(job) }
@@ -84,7 +84,7 @@
     return true
   }
 
-  /** The longest-waiting gangs, one of each workspace. */
+  /** Starts the longest-waiting large gangs, or sets blocks apart for them, within the limits above. */
   #placeForming(
     round: PlacementRound,
     admission: JobAdmission,
@@ -170,7 +170,10 @@
     return round.tryStart(job, vacated, describeStart(job, vacated, why))
   }
 
-  /** The last look, by the independent checker: what it objects to does not start. */
+  /**
+   * Checks the result with the independent plan checker. If the round adds faults, none of its unstoppable
+   * gangs start.
+   */
   #withholdUnsafeStarts(round: PlacementRound): PlacementDecision[] {
     const { view, decisions } = round
     const running = [...view.running, ...round.listPlaced()]
@@ -183,7 +186,7 @@
     return decisions.map((decision) => {
       if (decision.kind !== 'place' || !round.isUnstoppable(decision.jobId)) return decision
       const { jobId } = decision
-      return { kind: 'wait', jobId, reason: `would endanger what is guaranteed: ${detail}` }
+      return { kind: 'wait', jobId, reason: `would violate guaranteed reservations: ${detail}` }
     })
   }
 }
--- a/placement/engine/src/placementDecision.ts
+++ b/placement/engine/src/placementDecision.ts
@@ -1,7 +1,7 @@
-/** The closed list of what a placement round may decide. Each decision names its reason in plain words. */
+/** All kinds of decisions that a placement round makes. Each has a reason that users can read. */
 import type { Block } from '@nettlespur/placement.topology'
 
-/** Start this waiting job on these accelerators, all of which are free. */
+/** Starts a waiting job on these accelerators, all of which are free. */
 export interface PlaceDecision {
   readonly kind: 'place'
   readonly jobId: string
@@ -9,13 +9,13 @@
   readonly reason: string
 }
 
-/** Stop this running job and queue it again, so that another one may have its accelerators. */
+/** Stops a running job and queues it again, so that another job can use its accelerators. */
 export interface PreemptDecision {
   readonly kind: 'preempt'
-  /** The victim. */
+  /** The job to stop. */
   readonly jobId: string
   readonly forJobId: string
-  /** Whether a checkpoint is to be taken first; without one, the victim starts again from its last one. */
+  /** Whether to take a checkpoint first; without one, the victim resumes from its last checkpoint. */
   readonly withCheckpoint: boolean
   readonly reason: string
 }
@@ -26,7 +26,7 @@
   readonly reason: string
 }
 
-/** End this waiting job: it can never run. */
+/** Ends a waiting job that can never run. */
 export interface RefuseDecision {
   readonly kind: 'refuse'
   readonly jobId: string
--- a/placement/engine/src/placementPolicy.ts
+++ b/placement/engine/src/placementPolicy.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which waiting gangs start where, and which running ones make room for them. A policy may remember
- * what it has set apart for whom; it reads no clock and no random number.
+ * Decides which waiting gangs start where, and which running gangs are preempted for them. A policy may keep
+ * reservations and forming blocks between rounds, but it uses neither a clock nor random numbers.
  */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import { emptyPlan, type ReservationPlan } from '@nettlespur/placement.plan'
@@ -9,21 +9,21 @@
 import type { PlacementView } from './placementView.js'
 
 export abstract class PlacementPolicy {
-  /** One of `place`, `wait` and `refuse` for each waiting job of the view, besides preemptions. */
+  /** Returns one `place`, `wait` or `refuse` decision for each waiting job, and any preemptions. */
   abstract decide(view: PlacementView): PlacementDecision[]
 
-  /** What was kept for guaranteed shapes when the last decisions were taken. */
+  /** The reservations for guaranteed shapes as of the last call of `decide`. */
   get plan(): ReservationPlan {
     return emptyPlan
   }
 
-  /** Whether these upstreams could hold the gang if nothing else ran. */
+  /** Whether the gang would fit on these upstreams if all were ready and no other gang ran. */
   canEverFit(demand: Demand, upstreams: readonly UpstreamView[]): boolean {
     return canFitOnEmpty(createEmptyMap(upstreams), demand)
   }
 }
 
-/** All upstreams up, and nothing running. */
+/** Creates a map in which all upstreams are ready and no gang runs. */
 export function createEmptyMap(upstreams: readonly UpstreamView[]): ClusterMap {
   const emptied = upstreams.map((view): UpstreamView => ({ ...view, state: 'ready' }))
   return new ClusterMap(emptied, [])
--- a/placement/engine/src/placementRound.ts
+++ b/placement/engine/src/placementRound.ts
@@ -1,6 +1,6 @@
 /**
- * One round of decisions: the cluster as it would be after those taken so far. Starts and stops are noted
- * here at once, so that no accelerator is given away twice.
+ * The state of one round: the cluster as it will be after the decisions made so far. Starts and preemptions
+ * are recorded at once, so that no accelerator is assigned twice.
  */
 import type { Contract } from '@nettlespur/api.schemas'
 import { isUnstoppable, type ReservationPlanner } from '@nettlespur/placement.plan'
@@ -28,10 +28,11 @@
   readonly forming: FormingBlocks
 }
 
-/** A block that can be cleared, and who would have to go. */
+/** Blocks that a job can use once the victims on them have stopped. */
 export interface PreemptionPlan {
   readonly blocks: readonly Block[]
   readonly victims: readonly RunningGang[]
+  /** Accelerator time in milliseconds that stopping the victims loses. */
   readonly lostWork: number
 }
 
@@ -85,7 +86,7 @@
     return [...this.#decided.values(), ...this.preemptions]
   }
 
-  /** The gangs that this round places. */
+  /** Lists the gangs placed in this round. */
   listPlaced(): RunningGang[] {
     return [...this.#placedNow]
   }
@@ -94,12 +95,12 @@
     return this.listPlaced().some((gang) => gang.jobId === jobId && isUnstoppable(gang))
   }
 
-  /** Whether an unused reservation of the workspace has this very shape. */
+  /** Whether the workspace has an unused reservation of the job's shape. */
   hasUnusedReservation(job: WaitingJob): boolean {
     return this.#planner.hasUnusedReservation(this.map, job.workspace, job.gang)
   }
 
-  /** Moves what is reserved for others off these blocks; false where it cannot be kept elsewhere. */
+  /** Moves other workspaces' reservations off these blocks; returns false if they fit nowhere else. */
   vacate(job: WaitingJob, blocks: readonly Block[]): boolean {
     return this.#planner.tryVacate(this.map, createPlacedGang(job, blocks))
   }
@@ -108,12 +109,12 @@
     return this.#decided.get(job.jobId)?.kind === 'place'
   }
 
-  /** Whether a block is set apart for this very job. */
+  /** Whether a forming block is set apart for this job. */
   hasFormingBlock(job: WaitingJob): boolean {
     return this.#forming.get(job.jobId) !== undefined
   }
 
-  /** Accelerators the workspace holds, with what was placed in this round. */
+  /** Number of accelerators that the workspace holds, including those it was given in this round. */
   countHeld(workspace: string): number {
     return this.#heldCounts.get(workspace) ?? 0
   }
@@ -129,7 +130,7 @@
     )
   }
 
-  /** Starts the job on these free accelerators. False where guaranteed shapes would suffer. */
+  /** Starts the job on these free accelerators; returns false if that would break guaranteed shapes. */
   tryStart(job: WaitingJob, blocks: readonly Block[], reason: string): boolean {
     const gang = createPlacedGang(job, blocks)
     if (isUnstoppable(gang) && !this.#planner.tryVacate(this.map, gang)) return false
@@ -143,14 +144,17 @@
     return true
   }
 
-  /** The block that costs the least to clear. */
+  /** Finds the preemption with the least work lost; undefined if there is none. */
   findPreemption(job: WaitingJob, claim: Claim): PreemptionPlan | undefined {
     const { rules, view } = this
     const chooser = new PreemptionChooser({ job, claim, rules, nowMs: view.nowMs })
     return this.planPreemption(job, claim, fitGang(this.map, job, chooser))
   }
 
-  /** Who has to go for this job to have these blocks; undefined where that does not suffice. */
+  /**
+   * Lists the victims to stop for this job to get these blocks. Returns undefined if a holder must not be
+   * stopped, or if stopping all victims does not free enough processors and memory.
+   */
   planPreemption(
     job: WaitingJob,
     claim: Claim,
@@ -166,7 +170,7 @@
     return { blocks, victims: [...victims], lostWork }
   }
 
-  /** Stops the victims and keeps the blocks for the job, which then waits for them to be gone. */
+  /** Stops the victims and promises the blocks to the job, which waits until they have stopped. */
   preempt(job: WaitingJob, { blocks, victims }: PreemptionPlan, why: string): void {
     const place = describeBlocks(blocks)
     this.#addHeld(job.workspace, job.gang.accelerators)
@@ -190,7 +194,10 @@
     })
   }
 
-  /** Adds who holds the block, and as many more there as its processors and memory need. */
+  /**
+   * Adds to `victims` the holders of the block, then other gangs of the upstream, least work lost first, until
+   * processors and memory are enough. Returns false if that cannot free the block.
+   */
   #addVictims(job: WaitingJob, claim: Claim, block: Block, victims: Set<RunningGang>): boolean {
     const upstream = this.map.find(block.upstreamId)
     if (upstream === undefined) return false
@@ -235,5 +242,5 @@
   }
 }
 
-/** For sums of fractions. */
+/** Allows for rounding errors in sums of fractional shares. */
 const tolerance = 1e-6
--- a/placement/engine/src/placementView.ts
+++ b/placement/engine/src/placementView.ts
@@ -1,4 +1,4 @@
-/** What a placement decision is taken from: nothing else of the cluster is looked at. */
+/** The whole input of a placement decision; policies use no other state of the cluster. */
 import type { Contract, Urgency, UpstreamView } from '@nettlespur/api.schemas'
 import type { Demand, RunningGang, Stoppability } from '@nettlespur/placement.topology'
 
@@ -8,24 +8,24 @@
   readonly urgency: Urgency
   readonly stoppability: Stoppability
   readonly submittedAtMs: number
-  /** When it was queued last: at its submission, or when an attempt was given up. */
+  /** When the job was last queued: at submission, or when an attempt was abandoned. */
   readonly queuedAtMs: number
-  /** How long it is expected to run, after correction; it orders jobs and bounds nothing. */
+  /** Expected run time, after correction; it only orders jobs and sets no time limit. */
   readonly expectedRunTimeMs: number
-  /** Where the job must not go, such as where it failed before. */
+  /** Upstreams where the job must not be placed, such as those where it failed before. */
   readonly avoidedUpstreamIds?: ReadonlySet<string>
-  /** Set where the job may not be placed yet, in plain words. */
+  /** Why the job must not be placed yet, as shown to the user; undefined if it may be. */
   readonly holdReason?: string | undefined
 }
 
 export interface PlacementView {
   readonly nowMs: number
   readonly upstreams: readonly UpstreamView[]
-  /** Whether all upstreams that are up had the time to announce themselves. */
+  /** Whether all running upstreams have had enough time to announce themselves. */
   readonly upstreamsKnown: boolean
-  /** All gangs that hold accelerators. */
+  /** All gangs that hold accelerators, including those that reserve or stop. */
   readonly running: readonly RunningGang[]
-  /** In order of submission. */
+  /** Sorted by time of submission. */
   readonly waiting: readonly WaitingJob[]
   readonly contracts: readonly Contract[]
 }
--- a/placement/engine/src/preemptionChooser.ts
+++ b/placement/engine/src/preemptionChooser.ts
@@ -1,4 +1,4 @@
-/** Accelerators that are free or can be cleared for a job; best where the least work is lost. */
+/** Chooses accelerators that are free or can be preempted for a job, where the least work is lost. */
 import { measureSpareResources } from '@nettlespur/placement.plan'
 import {
   BlockChooser,
@@ -12,7 +12,7 @@
 import type { WaitingJob } from './placementView.js'
 import type { Claim, VictimRules } from './victimRules.js'
 
-/** Of equal losses, fewer gangs are better, then fewer free accelerators around. */
+/** Cost of each victim: at equal loss, fewer victims are preferred, then fewer free accelerators around. */
 const victimCost = 1000
 
 export interface PreemptionChooserOptions {
@@ -48,7 +48,7 @@
     return 0
   }
 
-  /** With the processors and memory of all that may be stopped there. */
+  /** Counts the processors and memory of all gangs on this upstream that can be stopped as free. */
   override countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
     const { job, claim, rules } = this.#opts
     let cpuCores = upstream.freeCpuCores
--- a/placement/engine/src/runTimeCorrection.ts
+++ b/placement/engine/src/runTimeCorrection.ts
@@ -1,15 +1,15 @@
 /**
- * Learns, for each workspace, how far its declared run times are off: a histogram of the ratio of what was
- * needed to what was declared. The corrected time is what a job needs at a set quantile. It only orders
- * jobs and weighs preemptions; nothing is ever ended because of it.
+ * Corrects declared run times by a histogram, for each workspace, of the ratio of actual to declared run
+ * time. The estimate is the declared time multiplied by a fixed quantile of these ratios. It is only used to
+ * order jobs and to weigh preemptions; no job is ever ended because of it.
  */
 import * as hdr from 'hdr-histogram-js'
 
-/** Ratios are kept in thousandths. */
+/** Ratios are recorded as integers, in thousandths. */
 const ratioScale = 1000
 const scaledRatioMax = 1_000_000
 const quantilePercent = 60
-/** With fewer jobs than this, declarations are taken as they are. */
+/** Declared run times are used uncorrected until this many jobs of a workspace were observed. */
 const observationsMin = 10
 
 export class RunTimeCorrection {
--- a/placement/engine/src/startChooser.ts
+++ b/placement/engine/src/startChooser.ts
@@ -1,6 +1,6 @@
 /**
- * Free accelerators that a job may start on. What is reserved or forms for another is only for work that can
- * be stopped.
+ * Chooses free accelerators that a job may start on. Those that are reserved for another workspace or belong
+ * to another job's forming block are only for jobs that can be stopped.
  */
 import { isUnstoppable, measureSpareResources } from '@nettlespur/placement.plan'
 import {
@@ -16,14 +16,14 @@
 const unstoppablePackingGain = 4096
 
 export interface StartChooserOptions {
-  /** Whether the job may start on what forms for another, as it can be stopped for it. */
+  /** Whether the job may start on another job's forming block, since it can be stopped for that job. */
   readonly mayBackfill: boolean
   readonly job: WaitingJob
-  /** Whether to stay off what is reserved for others even though the job can be stopped. */
+  /** Whether to avoid other workspaces' reservations even if the job can be stopped. */
   readonly avoidsReserved?: boolean
-  /** Whether to take what is reserved for others, where that can be reserved elsewhere. */
+  /** Whether to use other workspaces' reservations; the caller must then move these elsewhere. */
   readonly takesReserved?: boolean
-  /** Cost of a block that is reserved for the job's own workspace. */
+  /** Cost of each accelerator that is reserved for the job's own workspace. */
   readonly ownReservedCost?: number
 }
 
@@ -80,7 +80,7 @@
     return Math.min(byFree, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
-  /** Work that cannot be stopped is kept together, away from what is to be reclaimed. */
+  /** Counts the holders as stoppable as the job; keeps unstoppable gangs off capacity to be reclaimed. */
   #countSameKindHolders(upstream: UpstreamCapacity): number {
     const keepsTogether = this.#opts.job.stoppability === 'never'
     let count = 0
--- a/placement/engine/src/victimRules.ts
+++ b/placement/engine/src/victimRules.ts
@@ -1,22 +1,22 @@
-/** Which running gangs may be stopped for which waiting job. */
+/** Decides which running gangs may be stopped for which waiting job. */
 import type { RunningGang, UpstreamCapacity } from '@nettlespur/placement.topology'
 import type { WaitingJob } from './placementView.js'
 
-/** Why a job may reclaim accelerators. */
+/** The right by which a job may preempt others. */
 export type Claim = 'guaranteed' | 'urgent' | 'forming'
 
 export interface VictimRulesOptions {
-  /** Gangs of this many accelerators or more make no room for larger ones. */
+  /** Number of accelerators of the largest upstream; bounds the size of gangs that others may preempt. */
   readonly largestUpstreamSize: number
-  /** Gangs that run within what is guaranteed to their workspace. */
+  /** Gangs that run within their workspace's guarantee. */
   readonly protectedGangs: ReadonlySet<RunningGang>
-  /** Gangs placed in this very round. */
+  /** Gangs that this round places. */
   readonly placedNow: ReadonlySet<RunningGang>
   /** Gangs that this round stops. */
   readonly stoppedNow: ReadonlySet<RunningGang>
 }
 
-/** A gang makes room only for one at least so many times as large. */
+/** A gang is stopped for a forming block only if the waiting gang is at least this many times as large. */
 const formingSizeRatio = 2
 
 export class VictimRules {
@@ -49,13 +49,13 @@
     }
   }
 
-  /** Whether any gang that a block forms for may stop this job again. */
+  /** Whether this job may start on a forming block, as small enough to be stopped for the waiting gang. */
   mayBackfill({ stoppability, gang }: WaitingJob): boolean {
     const { largestUpstreamSize } = this.#opts
     return stoppability !== 'never' && gang.accelerators * formingSizeRatio <= largestUpstreamSize
   }
 
-  /** Whether `job` may hold this accelerator once its holder is gone. */
+  /** Whether `job` may use this accelerator once its current holder has stopped. */
   isAvailableTo(upstream: UpstreamCapacity, index: number, job: WaitingJob, claim: Claim): boolean {
     if (job.avoidedUpstreamIds?.has(upstream.upstreamId) === true) return false
     const promisedTo = upstream.promisedTo[index]
--- a/placement/engine/src/workspaceQueues.ts
+++ b/placement/engine/src/workspaceQueues.ts
@@ -1,4 +1,4 @@
-/** The waiting jobs of each workspace, served in the order of the workspaces' shares. */
+/** Queues the waiting jobs of each workspace, and serves the workspace with the lowest share first. */
 import type { DominantShares } from './dominantShares.js'
 import type { WaitingJob } from './placementView.js'
 
@@ -22,7 +22,7 @@
   return new Map(sorted)
 }
 
-/** Runs `serve` on each job; the next one is always of the workspace with the lowest share. */
+/** Calls `serve` for every job; the next job is always from the workspace with the lowest share. */
 export function serveByShare(
   queues: WorkspaceQueues,
   shares: DominantShares,
--- a/placement/engine/test/fakeCluster.ts
+++ b/placement/engine/test/fakeCluster.ts
@@ -1,4 +1,4 @@
-/** The least state that carries out decisions: gangs start at once, and stop a step after they are told. */
+/** A minimal fake cluster that carries out decisions: gangs start at once, and stop one step later. */
 import type { Contract, UpstreamView } from '@nettlespur/api.schemas'
 import { createContract, createUpstreamView } from '@nettlespur/control.fakes'
 import type { RunningGang } from '@nettlespur/placement.topology'
@@ -32,7 +32,7 @@
   return { ...createContract(workspace), guarantees }
 }
 
-/** Of 8 accelerators each, three to a rack. */
+/** Creates upstreams of 8 accelerators each, three to a rack. */
 export function createUpstreams(count: number): UpstreamView[] {
   return Array.from({ length: count }, (_, index) =>
     createUpstreamView(`u${index}`, { rack: `r${Math.floor(index / 3)}` }),
@@ -66,7 +66,7 @@
     this.waiting.push(queued)
   }
 
-  /** Ends a running gang, or takes a waiting job away. */
+  /** Ends a running gang, or removes a waiting job. */
   end(jobId: string): void {
     this.running = this.running.filter((gang) => gang.jobId !== jobId)
     this.waiting = this.waiting.filter((job) => job.jobId !== jobId)
@@ -88,7 +88,7 @@
     )
   }
 
-  /** What was told to stop has stopped; then one round of decisions. */
+  /** Queues the gangs that were stopping again, then runs one round of decisions and carries it out. */
   step(): void {
     this.nowMs += stepMs
     for (const gang of this.running.filter((one) => one.isStopping)) this.#requeue(gang.jobId)
--- a/placement/engine/test/objectivePolicy.test.ts
+++ b/placement/engine/test/objectivePolicy.test.ts
@@ -22,7 +22,7 @@
   )
 }
 
-/** What cannot be stopped, so that nothing makes room. */
+/** Creates an unstoppable gang, so that its accelerators cannot be reclaimed. */
 function createHeldGang(upstreamId: string, acceleratorIndexes: readonly number[]): RunningGang {
   const accelerators = acceleratorIndexes.length
   const gang = { accelerators, adjacency: 'upstream' as const }
@@ -51,7 +51,7 @@
   return decisions.filter((decision) => decision.kind === 'place')
 }
 
-test('each waiting job gets one decision, and no accelerator goes to two', (t) => {
+test('each waiting job gets one decision, and no accelerator is assigned to two jobs', (t) => {
   const property = fc.property(views, (view) => {
     const decisions = decide(view)
     t.deepEqual(decisions.map((d) => d.jobId).sort(), view.waiting.map((job) => job.jobId).sort())
@@ -63,7 +63,7 @@
   fc.assert(property)
 })
 
-test('every placement has all its accelerators, aligned and as adjacent as asked', (t) => {
+test('every placement has all its accelerators, aligned and with the requested adjacency', (t) => {
   const property = fc.property(views, (view) => {
     for (const { jobId, blocks } of listPlaced(decide(view))) {
       const job = view.waiting.find((waiting) => waiting.jobId === jobId)
@@ -94,7 +94,7 @@
   fc.assert(property)
 })
 
-test('a small gang goes where it breaks up the least', (t) => {
+test('a small gang is placed in the smallest free block that fits', (t) => {
   const held = [createHeldGang('u0', [0, 1, 2, 3]), createHeldGang('u1', [0, 1, 4, 5, 6, 7])]
   const gang = { accelerators: 2, adjacency: 'upstream' as const }
   const waiting = [createJob('j', { gang })]
@@ -102,7 +102,7 @@
   t.like(decision, { kind: 'place', blocks: [{ upstreamId: 'u1', acceleratorIndexes: [2, 3] }] })
 })
 
-test('small jobs behind a waiting large one do not take the block that forms for it', (t) => {
+test('unstoppable small jobs do not start on the forming block of a waiting large gang', (t) => {
   const held = [createHeldGang('u0', [0]), createHeldGang('u1', [0, 1, 2])]
   const upstreams = createUpstreams().slice(0, 2)
   const large = createJob('large', { gang: { accelerators: 8, adjacency: 'upstream' } })
@@ -120,7 +120,7 @@
   t.true(blocks.every((block) => block.upstreamId === 'u1'))
 })
 
-test('jobs beyond the limit of their contract wait and say so; urgent ones come first', (t) => {
+test('a job over the limit of its contract waits with that reason, and urgent jobs come first', (t) => {
   const waiting = [createJob('a'), createJob('b', { urgency: 'urgent' })]
   const limited = [createContract('a', { concurrentAccelerators: 1 })]
   const view = { ...base, upstreams: createUpstreams(), running: [], waiting, contracts: limited }
@@ -130,7 +130,7 @@
   t.regex(second?.reason ?? '', /at the 1 accelerators its contract allows/)
 })
 
-test('a shape that no set of upstreams can hold is told from one that only has to wait', (t) => {
+test('canEverFit is false only for a shape that does not fit on idle upstreams', (t) => {
   const upstreams = createUpstreams()
   const canFit = (accelerators: number, adjacency: 'upstream' | 'rack', cpuCores = 0) =>
     createPolicy('completionTime').canEverFit(
--- a/placement/engine/test/promises.test.ts
+++ b/placement/engine/test/promises.test.ts
@@ -78,7 +78,7 @@
 }
 
 for (const objective of objectives) {
-  test(`${objective}: gangs are placed whole, once, on accelerators that nobody holds`, (t) => {
+  test(`${objective}: gangs are placed completely and once, on free accelerators`, (t) => {
     const events = fc.array(fc.oneof({ weight: 8, arbitrary: event }, failure), { maxLength: 60 })
     const property = fc.property(contracts, events, (agreed, happenings) => {
       const cluster = new FakeCluster(createPolicy(objective), agreed, createUpstreams(6))
@@ -112,7 +112,7 @@
     fc.assert(property, { numRuns: 100 })
   })
 
-  test(`${objective}: a guaranteed gang starts once its borrowers had one step to stop`, (t) => {
+  test(`${objective}: a guaranteed gang starts after its borrowers have had one step to stop`, (t) => {
     const events = fc.array(event, { maxLength: 60 })
     const property = fc.property(events, (happenings) => {
       const gang = { accelerators: 8, adjacency: 'upstream' as const }
@@ -135,7 +135,7 @@
     })
   })
 
-  test(`${objective}: a large gang starts although small jobs never stop coming`, (t) => {
+  test(`${objective}: a large gang starts even if small jobs keep arriving`, (t) => {
     const mix = fc.array(
       fc.record({
         accelerators: fc.constantFrom(1, 2, 3),
@@ -179,7 +179,7 @@
 const large = { accelerators: 16, adjacency: 'rack' as const }
 const runStepsMax = 20
 const fillSteps = 20
-/** Half an hour, in which what cannot be stopped ends too, and time for the victims to stop. */
+/** Half an hour, by which unstoppable jobs have ended too, and a few steps for the victims to stop. */
 const waitStepsMax = 30 + 4
 
 function isUp(cluster: FakeCluster, upstreamId: string): boolean {
