--- a/placement/engine/src/formingBlocks.ts
+++ b/placement/engine/src/formingBlocks.ts
@@ -34,7 +34,7 @@
   }
 
   /** Keeps the blocks that their waiting jobs can still use, marks them in the map, and drops the others. */
-  keepOpenBlocks(
+  keepAvailableBlocks(
     { map, rules }: Pick<FormingContext, 'map' | 'rules'>,
     waiting: readonly WaitingJob[],
   ): void {
@@ -45,7 +45,7 @@
     for (const job of waiting) {
       const blocks = former.get(job.jobId)
       if (blocks === undefined || job.holdReason !== undefined) continue
-      if (isOpen(map, blocks, job, rules)) this.#assign(map, job, blocks)
+      if (isStillAvailable(map, blocks, job, rules)) this.#assign(map, job, blocks)
     }
   }
 
@@ -53,12 +53,12 @@
    * Sets apart the block that is expected to be free soonest. Returns undefined if none fits, or if too many
    * accelerators are set apart already.
    */
-  formBlock(site: FormingContext, job: WaitingJob): readonly Block[] | undefined {
-    const { map, rules, nowMs } = site
+  formBlock(context: FormingContext, job: WaitingJob): readonly Block[] | undefined {
+    const { map, rules, nowMs } = context
     const total = this.#countAccelerators() + job.gang.accelerators
     if (this.#byJobId.size > 0 && total > map.size * formingShareMax) return undefined
     const open = fitGang(map, job, new FormingChooser({ job, rules, nowMs }))
-    const blocks = open ?? this.#findReservedBlocks(site, job)
+    const blocks = open ?? this.#findReservedBlocks(context, job)
     if (blocks !== undefined) this.#assign(map, job, blocks)
     return blocks
   }
@@ -98,7 +98,7 @@
 }
 
 /** Whether all accelerators of the blocks still exist and are still available to the job. */
-function isOpen(
+function isStillAvailable(
   map: ClusterMap,
   blocks: readonly Block[],
   job: WaitingJob,
--- a/placement/engine/src/jobAdmission.ts
+++ b/placement/engine/src/jobAdmission.ts
@@ -11,7 +11,7 @@
 /** A job that no set of known upstreams can hold is refused after waiting this long. */
 const refuseInfeasibleAfterMs = 600_000
 /** Cost that keeps gangs of other shapes from splitting a reservation. */
-const breaksReservationCost = 100_000
+const splitReservationCost = 100_000
 
 export class JobAdmission {
   readonly #round: PlacementRound
@@ -62,8 +62,8 @@
    * workspace, stoppability and demand. Jobs that avoid upstreams or have a forming block share no result.
    */
   searchOnce<T>(searchName: string, job: WaitingJob, find: () => T | undefined): T | undefined {
-    const isSpecial = job.avoidedUpstreamIds !== undefined || this.#round.hasFormingBlock(job)
-    const name = `${searchName} ${buildSearchKey(job)}${isSpecial ? job.jobId : ''}`
+    const isJobSpecific = job.avoidedUpstreamIds !== undefined || this.#round.hasFormingBlock(job)
+    const name = `${searchName} ${buildSearchKey(job)}${isJobSpecific ? job.jobId : ''}`
     if (this.#failedSearches.has(name)) return undefined
     const found = find()
     if (found === undefined) this.#failedSearches.add(name)
@@ -83,7 +83,7 @@
   }
 
   computeOwnReservedCost(job: WaitingJob): number {
-    return this.#hasOwnReservation(job) ? -breaksReservationCost : breaksReservationCost
+    return this.#hasOwnReservation(job) ? -splitReservationCost : splitReservationCost
   }
 
   /** Whether a block may be set apart for the job: only if it is as large as the largest upstream. */
@@ -99,8 +99,9 @@
       this.#round.decide({ kind: 'wait', jobId, reason })
       return
     }
-    const keeps = forming === undefined ? '' : `; ${describeBlocks(forming)} is set apart for it`
-    const reason = `no room for ${asked}${keeps}`
+    const formingNote =
+      forming === undefined ? '' : `; ${describeBlocks(forming)} is set apart for it`
+    const reason = `no room for ${asked}${formingNote}`
     this.#round.decide({ kind: 'wait', jobId, reason })
   }
 
--- a/placement/engine/src/objectivePolicy.ts
+++ b/placement/engine/src/objectivePolicy.ts
@@ -118,8 +118,8 @@
     if (this.#startBorrowing(round, admission, job, 'longest wait')) return
     const { map, rules, view } = round
     const vacate = (one: WaitingJob, on: readonly Block[]): boolean => round.vacate(one, on)
-    const site = { map, rules, nowMs: view.nowMs, vacate }
-    const blocks = this.#forming.get(job.jobId) ?? this.#forming.formBlock(site, job)
+    const context = { map, rules, nowMs: view.nowMs, vacate }
+    const blocks = this.#forming.get(job.jobId) ?? this.#forming.formBlock(context, job)
     const preemption = round.planPreemption(job, 'forming', blocks)
     const best =
       preemption ?? admission.searchOnce('forming', job, () => round.findPreemption(job, 'forming'))
--- a/placement/engine/src/placementRound.ts
+++ b/placement/engine/src/placementRound.ts
@@ -71,7 +71,7 @@
       this.#addHeld(gang.workspace, gang.gang.accelerators)
       if (!protectedGangs.has(gang)) this.shares.addBorrowed(gang.workspace, gang)
     }
-    forming.keepOpenBlocks({ map: this.map, rules: this.rules }, view.waiting)
+    forming.keepAvailableBlocks({ map: this.map, rules: this.rules }, view.waiting)
   }
 
   isUndecided(job: WaitingJob): boolean {
--- a/placement/engine/src/startChooser.ts
+++ b/placement/engine/src/startChooser.ts
@@ -82,10 +82,10 @@
 
   /** Counts the holders as stoppable as the job; keeps unstoppable gangs off capacity to be reclaimed. */
   #countSameKindHolders(upstream: UpstreamCapacity): number {
-    const keepsTogether = this.#opts.job.stoppability === 'never'
+    const isJobUnstoppable = this.#opts.job.stoppability === 'never'
     let count = 0
     for (const holder of upstream.holders) {
-      if (holder !== undefined && isUnstoppable(holder) === keepsTogether) count += 1
+      if (holder !== undefined && isUnstoppable(holder) === isJobUnstoppable) count += 1
     }
     return count
   }
--- a/placement/plan/src/reservationPlanner.ts
+++ b/placement/plan/src/reservationPlanner.ts
@@ -67,9 +67,9 @@
     if (unused === undefined) return false
     this.#removeReservation(map, unused)
     const moved = { ...unused, blocks: gang.blocks }
-    const holds = canReserve(map, moved)
-    this.#addReservation(map, holds ? moved : unused)
-    return holds
+    const canMove = canReserve(map, moved)
+    this.#addReservation(map, canMove ? moved : unused)
+    return canMove
   }
 
   hasUnusedReservation(map: ClusterMap, workspace: string, shape: Shape): boolean {
