--- a/placement/engine/src/startGang.ts
+++ b/placement/engine/src/createPlacedGang.ts
@@ -1,8 +1,8 @@
-/** A waiting job as it is once placed, before its start. */
+/** Creates the running gang that a waiting job becomes when it is placed; it has not started yet. */
 import type { Block, RunningGang } from '@nettlespur/placement.topology'
 import type { WaitingJob } from './placementView.js'
 
-export function startGang(job: WaitingJob, blocks: readonly Block[]): RunningGang {
+export function createPlacedGang(job: WaitingJob, blocks: readonly Block[]): RunningGang {
   return {
     ...job,
     blocks,
--- a/placement/engine/src/formingBlocks.ts
+++ b/placement/engine/src/formingBlocks.ts
@@ -1,20 +1,21 @@
 /**
- * Blocks set apart for waiting gangs: only work that can be stopped starts there until the gang does. A
- * block stays with its gang for as long as it can, so that the time until it is free only shrinks.
+ * Forming blocks: accelerators set apart for large waiting gangs until all of them are free. Meanwhile, only
+ * jobs that can be stopped for the gang are backfilled there. A gang keeps its block as long as possible, so
+ * that the time until the block is free only decreases.
  */
 import { fitGang, type Block, type ClusterMap } from '@nettlespur/placement.topology'
 import { FormingChooser } from './formingChooser.js'
 import type { WaitingJob } from './placementView.js'
 import type { VictimRules } from './victimRules.js'
 
-/** Share of all accelerators that may be set apart at once; one block may be whatever its size. */
+/** Share of all accelerators that may be set apart at once; a single block may exceed it. */
 const formingShareMax = 0.5
 
-export interface FormingSite {
+export interface FormingContext {
   readonly map: ClusterMap
   readonly rules: VictimRules
   readonly nowMs: number
-  /** Moves what is reserved for others off these blocks, if that can be. */
+  /** Moves reservations of other workspaces off these blocks; returns false if that is impossible. */
   readonly vacate: (job: WaitingJob, blocks: readonly Block[]) => boolean
 }
 
@@ -25,47 +26,56 @@
     return this.#byJobId.get(jobId)
   }
 
-  /** Marks in the map what was set apart, so that reservations are not moved there. */
-  mark(map: ClusterMap): void {
+  /** Marks all forming blocks in the map, so that the planner avoids mapping reservations to them. */
+  markAll(map: ClusterMap): void {
     for (const [jobId, blocks] of this.#byJobId) {
-      map.visit(blocks, (room, index) => (room.formingFor[index] = jobId))
+      map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = jobId))
     }
   }
 
-  /** Marks in the map what is still set apart, and forgets the rest. */
-  keep({ map, rules }: Pick<FormingSite, 'map' | 'rules'>, waiting: readonly WaitingJob[]): void {
+  /** Keeps the blocks that their waiting jobs can still use, marks them in the map, and drops the others. */
+  keepAvailableBlocks(
+    { map, rules }: Pick<FormingContext, 'map' | 'rules'>,
+    waiting: readonly WaitingJob[],
+  ): void {
     const former = this.#byJobId
     this.#byJobId = new Map()
     if (former.size === 0) return
-    for (const room of map.rooms) room.formingFor.fill(undefined)
+    for (const upstream of map.upstreams) upstream.formingFor.fill(undefined)
     for (const job of waiting) {
       const blocks = former.get(job.jobId)
-      if (blocks === undefined || job.heldBack !== undefined) continue
-      if (isOpen(map, blocks, job, rules)) this.#mark(map, job, blocks)
+      if (blocks === undefined || job.holdReason !== undefined) continue
+      if (isStillAvailable(map, blocks, job, rules)) this.#assign(map, job, blocks)
     }
   }
 
-  /** Sets the block apart that will be free soonest; undefined where enough is set apart already. */
-  form(site: FormingSite, job: WaitingJob): readonly Block[] | undefined {
-    const { map, rules, nowMs } = site
+  /**
+   * Sets apart the block that is expected to be free soonest. Returns undefined if none fits, or if too many
+   * accelerators are set apart already.
+   */
+  formBlock(context: FormingContext, job: WaitingJob): readonly Block[] | undefined {
+    const { map, rules, nowMs } = context
     const total = this.#countAccelerators() + job.gang.accelerators
     if (this.#byJobId.size > 0 && total > map.size * formingShareMax) return undefined
     const open = fitGang(map, job, new FormingChooser({ job, rules, nowMs }))
-    const blocks = open ?? this.#findVacated(site, job)
-    if (blocks !== undefined) this.#mark(map, job, blocks)
+    const blocks = open ?? this.#findReservedBlocks(context, job)
+    if (blocks !== undefined) this.#assign(map, job, blocks)
     return blocks
   }
 
-  /** Gives up the block of a gang that has started. */
+  /** Removes the forming block of a job, once it has started. */
   release(map: ClusterMap, jobId: string): void {
     const blocks = this.#byJobId.get(jobId)
     if (blocks === undefined) return
     this.#byJobId.delete(jobId)
-    map.visit(blocks, (room, index) => (room.formingFor[index] = undefined))
+    map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = undefined))
   }
 
-  /** A block on which others have reservations, once these are moved. */
-  #findVacated({ map, rules, nowMs, vacate }: FormingSite, job: WaitingJob): Block[] | undefined {
+  /** Finds a block for an unstoppable job among others' reservations, and moves these elsewhere. */
+  #findReservedBlocks(
+    { map, rules, nowMs, vacate }: FormingContext,
+    job: WaitingJob,
+  ): Block[] | undefined {
     if (job.stoppability !== 'never') return undefined
     const asStoppable: WaitingJob = { ...job, stoppability: 'repeat' }
     const chooser = new FormingChooser({ job: asStoppable, rules, nowMs })
@@ -73,9 +83,9 @@
     return blocks !== undefined && vacate(job, blocks) ? blocks : undefined
   }
 
-  #mark(map: ClusterMap, job: WaitingJob, blocks: readonly Block[]): void {
+  #assign(map: ClusterMap, job: WaitingJob, blocks: readonly Block[]): void {
     this.#byJobId.set(job.jobId, blocks)
-    map.visit(blocks, (room, index) => (room.formingFor[index] = job.jobId))
+    map.visit(blocks, (upstream, index) => (upstream.formingFor[index] = job.jobId))
   }
 
   #countAccelerators(): number {
@@ -87,18 +97,18 @@
   }
 }
 
-/** Whether all of it is still there, and neither reserved nor set apart for another. */
-function isOpen(
+/** Whether all accelerators of the blocks still exist and are still available to the job. */
+function isStillAvailable(
   map: ClusterMap,
   blocks: readonly Block[],
   job: WaitingJob,
   rules: VictimRules,
 ): boolean {
   return blocks.every(({ upstreamId, acceleratorIndexes }) => {
-    const room = map.find(upstreamId)
-    if (room === undefined) return false
+    const upstream = map.find(upstreamId)
+    if (upstream === undefined) return false
     return acceleratorIndexes.every(
-      (index) => index < room.size && rules.isOpenTo(room, index, job, 'forming'),
+      (index) => index < upstream.size && rules.isAvailableTo(upstream, index, job, 'forming'),
     )
   })
 }
--- a/placement/engine/src/formingChooser.ts
+++ b/placement/engine/src/formingChooser.ts
@@ -1,14 +1,14 @@
 /**
- * The block that will be free soonest for a job that has to wait: what can be stopped counts little, what
- * cannot by how long it is expected to run.
+ * Chooses the block that is expected to be free soonest for a waiting job. A gang that the job may preempt
+ * costs the work it would lose; any other gang costs its expected remaining run time.
  */
 import {
   BlockChooser,
-  countAffordable,
+  countByCpuAndMemory,
   type Demand,
-  type UpstreamRoom,
+  type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
-import { expectRemainingMs, measureLostWork } from './measureLostWork.js'
+import { estimateRemainingMs, measureLostWork } from './measureLostWork.js'
 import type { WaitingJob } from './placementView.js'
 import type { VictimRules } from './victimRules.js'
 
@@ -26,29 +26,29 @@
     this.#opts = opts
   }
 
-  isUsable(room: UpstreamRoom, index: number): boolean {
+  isUsable(upstream: UpstreamCapacity, index: number): boolean {
     const { job, rules } = this.#opts
-    return rules.isOpenTo(room, index, job, 'forming')
+    return rules.isAvailableTo(upstream, index, job, 'forming')
   }
 
-  rate(room: UpstreamRoom, from: number, count: number): number {
+  computeCost(upstream: UpstreamCapacity, from: number, count: number): number {
     const { job, rules, nowMs } = this.#opts
-    let rate = 0
-    for (const holder of new Set(room.holders.slice(from, from + count))) {
+    let cost = 0
+    for (const holder of new Set(upstream.holders.slice(from, from + count))) {
       if (holder === undefined || rules.isStopping(holder)) continue
-      const isVictim = rules.mayStop(holder, job, 'forming')
+      const isVictim = rules.canStop(holder, job, 'forming')
       const lostMs = measureLostWork(holder, nowMs) / job.gang.accelerators
-      rate += isVictim ? lostMs : expectRemainingMs(holder, nowMs)
+      cost += isVictim ? lostMs : estimateRemainingMs(holder, nowMs)
     }
-    return rate
+    return cost
   }
 
-  override rateRack(): number {
+  override computeRackCost(): number {
     return 0
   }
 
-  /** As if nothing else ran there. */
-  override countAffordable(room: UpstreamRoom, demand: Demand): number {
-    return countAffordable(demand, room.view.cpuCores, room.view.memoryBytes)
+  /** Counts all processors and memory of the upstream, since its running gangs will have ended. */
+  override countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
+    return countByCpuAndMemory(demand, upstream.view.cpuCores, upstream.view.memoryBytes)
   }
 }
--- a/placement/engine/src/fragmentationPolicy.ts
+++ b/placement/engine/src/fragmentationPolicy.ts
@@ -1,9 +1,9 @@
-/** Favours whole blocks: of each workspace's jobs the largest comes first, then the longest-waiting. */
+/** Favours low fragmentation: the largest job of a workspace comes first, then the longest-waiting. */
 import { ObjectivePolicy } from './objectivePolicy.js'
 import type { WaitingJob } from './placementView.js'
 
 export class FragmentationPolicy extends ObjectivePolicy {
-  protected override readonly preemptionPatience = 0.05
+  protected override readonly lostWorkRatioMax = 0.05
 
   protected override rank(job: WaitingJob): number {
     return -job.gang.accelerators
--- a/placement/engine/src/startChooser.ts
+++ b/placement/engine/src/startChooser.ts
@@ -1,29 +1,29 @@
 /**
- * Free accelerators that a job may start on. What is reserved or forms for another is only for work that can
- * be stopped.
+ * Chooses free accelerators that a job may start on. Those that are reserved for another workspace or belong
+ * to another job's forming block are only for jobs that can be stopped.
  */
-import { isUnstoppable, measureSpare } from '@nettlespur/placement.plan'
+import { isUnstoppable, measureSpareResources } from '@nettlespur/placement.plan'
 import {
-  countAffordable,
+  countByCpuAndMemory,
   FreeChooser,
   type Demand,
-  type UpstreamRoom,
+  type UpstreamCapacity,
 } from '@nettlespur/placement.topology'
 import type { WaitingJob } from './placementView.js'
 
 const formingCost = 1_000_000
-const companyGain = 4
-const togetherGain = 4096
+const stoppablePackingGain = 4
+const unstoppablePackingGain = 4096
 
 export interface StartChooserOptions {
-  /** Whether the job may start on what forms for another, as it can be stopped for it. */
+  /** Whether the job may start on another job's forming block, since it can be stopped for that job. */
   readonly mayBackfill: boolean
   readonly job: WaitingJob
-  /** Whether to stay off what is reserved for others even though the job can be stopped. */
+  /** Whether to avoid other workspaces' reservations even if the job can be stopped. */
   readonly avoidsReserved?: boolean
-  /** Whether to take what is reserved for others, where that can be reserved elsewhere. */
+  /** Whether to use other workspaces' reservations; the caller must then move these elsewhere. */
   readonly takesReserved?: boolean
-  /** Cost of a block that is reserved for the job's own workspace. */
+  /** Cost of each accelerator that is reserved for the job's own workspace. */
   readonly ownReservedCost?: number
 }
 
@@ -35,53 +35,57 @@
     this.#opts = opts
   }
 
-  override isUsable(room: UpstreamRoom, index: number): boolean {
-    if (!super.isUsable(room, index)) return false
+  override isUsable(upstream: UpstreamCapacity, index: number): boolean {
+    if (!super.isUsable(upstream, index)) return false
     const { job, avoidsReserved, takesReserved } = this.#opts
-    if (job.avoidedUpstreamIds?.has(room.upstreamId) === true) return false
-    const reservedFor = room.reservedFor[index]
-    const isOthers = reservedFor !== undefined && reservedFor !== job.workspace
+    if (job.avoidedUpstreamIds?.has(upstream.upstreamId) === true) return false
+    const reservedFor = upstream.reservedFor[index]
+    const isReservedForOthers = reservedFor !== undefined && reservedFor !== job.workspace
     const mayTake = takesReserved === true
-    if (isOthers && !mayTake && (avoidsReserved === true || job.stoppability === 'never'))
+    if (
+      isReservedForOthers &&
+      !mayTake &&
+      (avoidsReserved === true || job.stoppability === 'never')
+    )
       return false
-    const formingFor = room.formingFor[index]
-    const formsForOther = formingFor !== undefined && formingFor !== job.jobId
-    return !formsForOther || this.#opts.mayBackfill
+    const formingFor = upstream.formingFor[index]
+    const isFormingForOther = formingFor !== undefined && formingFor !== job.jobId
+    return !isFormingForOther || this.#opts.mayBackfill
   }
 
-  override countUsableMax(room: UpstreamRoom): number {
-    const isAvoided = this.#opts.job.avoidedUpstreamIds?.has(room.upstreamId) === true
-    return isAvoided ? 0 : super.countUsableMax(room)
+  override countUsableMax(upstream: UpstreamCapacity): number {
+    const isAvoided = this.#opts.job.avoidedUpstreamIds?.has(upstream.upstreamId) === true
+    return isAvoided ? 0 : super.countUsableMax(upstream)
   }
 
-  override rate(room: UpstreamRoom, from: number, count: number): number {
+  override computeCost(upstream: UpstreamCapacity, from: number, count: number): number {
     const { job, ownReservedCost = 0 } = this.#opts
-    let rate =
-      super.rate(room, from, count) -
-      this.#countCompany(room) *
-        (this.#opts.job.stoppability === 'never' ? togetherGain : companyGain)
+    let cost =
+      super.computeCost(upstream, from, count) -
+      this.#countSameKindHolders(upstream) *
+        (this.#opts.job.stoppability === 'never' ? unstoppablePackingGain : stoppablePackingGain)
     for (let index = from; index < from + count; index += 1) {
-      const formingFor = room.formingFor[index]
-      if (formingFor !== undefined && formingFor !== job.jobId) rate += formingCost
-      if (room.reservedFor[index] === job.workspace) rate += ownReservedCost
+      const formingFor = upstream.formingFor[index]
+      if (formingFor !== undefined && formingFor !== job.jobId) cost += formingCost
+      if (upstream.reservedFor[index] === job.workspace) cost += ownReservedCost
     }
-    return rate
+    return cost
   }
 
-  override countAffordable(room: UpstreamRoom, demand: Demand): number {
-    const byFree = super.countAffordable(room, demand)
+  override countByCpuAndMemory(upstream: UpstreamCapacity, demand: Demand): number {
+    const byFree = super.countByCpuAndMemory(upstream, demand)
     const { job } = this.#opts
     if (job.stoppability !== 'never') return byFree
-    const spare = measureSpare(room, job.workspace)
-    return Math.min(byFree, countAffordable(demand, spare.cpuCores, spare.memoryBytes))
+    const spare = measureSpareResources(upstream, job.workspace)
+    return Math.min(byFree, countByCpuAndMemory(demand, spare.cpuCores, spare.memoryBytes))
   }
 
-  /** Work that cannot be stopped is kept together, away from what is to be reclaimed. */
-  #countCompany(room: UpstreamRoom): number {
-    const keepsTogether = this.#opts.job.stoppability === 'never'
+  /** Counts the holders as stoppable as the job; keeps unstoppable gangs off capacity to be reclaimed. */
+  #countSameKindHolders(upstream: UpstreamCapacity): number {
+    const isJobUnstoppable = this.#opts.job.stoppability === 'never'
     let count = 0
-    for (const holder of room.holders) {
-      if (holder !== undefined && isUnstoppable(holder) === keepsTogether) count += 1
+    for (const holder of upstream.holders) {
+      if (holder !== undefined && isUnstoppable(holder) === isJobUnstoppable) count += 1
     }
     return count
   }
--- a/placement/engine/src/workspaceQueues.ts
+++ b/placement/engine/src/workspaceQueues.ts
@@ -1,4 +1,4 @@
-/** The waiting jobs of each workspace, served in the order of the workspaces' shares. */
+/** Queues the waiting jobs of each workspace, and serves the workspace with the lowest share first. */
 import type { DominantShares } from './dominantShares.js'
 import type { WaitingJob } from './placementView.js'
 
@@ -22,14 +22,14 @@
   return new Map(sorted)
 }
 
-/** Runs `serve` on each job; the next one is always of the workspace with the lowest share. */
-export function takeByShare(
+/** Calls `serve` for every job; the next job is always from the workspace with the lowest share. */
+export function serveByShare(
   queues: WorkspaceQueues,
   shares: DominantShares,
   serve: (job: WaitingJob) => void,
 ): void {
   const open = [...queues].map(([workspace, queue]) => {
-    return { workspace, jobs: queue.values(), share: shares.measure(workspace) }
+    return { workspace, jobs: queue.values(), share: shares.computeShare(workspace) }
   })
   while (open.length > 0) {
     let lowest = open[0]
@@ -41,6 +41,6 @@
       continue
     }
     serve(next.value)
-    lowest.share = shares.measure(lowest.workspace)
+    lowest.share = shares.computeShare(lowest.workspace)
   }
 }
--- a/placement/engine/test/tinyCluster.ts
+++ b/placement/engine/test/fakeCluster.ts
@@ -1,9 +1,9 @@
-/** The least state that carries out decisions: gangs start at once, and stop a step after they are told. */
+/** A minimal fake cluster that carries out decisions: gangs start at once, and stop one step later. */
 import type { Contract, UpstreamView } from '@nettlespur/api.schemas'
 import { createContract, createUpstreamView } from '@nettlespur/control.fakes'
 import type { RunningGang } from '@nettlespur/placement.topology'
 import {
-  startGang,
+  createPlacedGang,
   type PlacementDecision,
   type PlacementPolicy,
   type PlacementView,
@@ -32,14 +32,14 @@
   return { ...createContract(workspace), guarantees }
 }
 
-/** Of 8 accelerators each, three to a rack. */
-export function createRacks(count: number): UpstreamView[] {
+/** Creates upstreams of 8 accelerators each, three to a rack. */
+export function createUpstreams(count: number): UpstreamView[] {
   return Array.from({ length: count }, (_, index) =>
     createUpstreamView(`u${index}`, { rack: `r${Math.floor(index / 3)}` }),
   )
 }
 
-export class TinyCluster {
+export class FakeCluster {
   readonly contracts: readonly Contract[]
   readonly #policy: PlacementPolicy
   upstreams: UpstreamView[]
@@ -66,7 +66,7 @@
     this.waiting.push(queued)
   }
 
-  /** Ends a running gang, or takes a waiting job away. */
+  /** Ends a running gang, or removes a waiting job. */
   end(jobId: string): void {
     this.running = this.running.filter((gang) => gang.jobId !== jobId)
     this.waiting = this.waiting.filter((job) => job.jobId !== jobId)
@@ -88,7 +88,7 @@
     )
   }
 
-  /** What was told to stop has stopped; then one round of decisions. */
+  /** Queues the gangs that were stopping again, then runs one round of decisions and carries it out. */
   step(): void {
     this.nowMs += stepMs
     for (const gang of this.running.filter((one) => one.isStopping)) this.#requeue(gang.jobId)
@@ -107,7 +107,7 @@
     const job = this.waiting.find((one) => one.jobId === jobId)
     if (decision.kind === 'place' && job !== undefined) {
       this.end(jobId)
-      this.running.push({ ...startGang(job, decision.blocks), startedAtMs: this.nowMs })
+      this.running.push({ ...createPlacedGang(job, decision.blocks), startedAtMs: this.nowMs })
     }
     if (decision.kind !== 'preempt') return
     this.running = this.running.map((gang) =>
--- a/placement/topology/src/index.ts
+++ b/placement/topology/src/index.ts
@@ -1,11 +1,11 @@
-/** Accelerators by upstream and rack, who holds them, and which blocks fit a gang. */
+/** The accelerators by upstream and rack, the gangs that hold them, and the search for a gang's blocks. */
 export type { Block } from './block.js'
-export { AnyChooser } from './anyChooser.js'
+export { FirstFitChooser } from './firstFitChooser.js'
 export { BlockChooser } from './blockChooser.js'
 export { ClusterMap } from './clusterMap.js'
-export { readStoppability, takeShare, type Demand, type Stoppability } from './demand.js'
+export { readStoppability, computeDemandShare, type Demand, type Stoppability } from './demand.js'
 export { fitGang } from './fitGang.js'
 export { FreeChooser } from './freeChooser.js'
-export { measureSurroundings } from './measureSurroundings.js'
+export { measureEnclosingBlock } from './measureEnclosingBlock.js'
 export type { RunningGang } from './runningGang.js'
-export { countAffordable, UpstreamRoom } from './upstreamRoom.js'
+export { countByCpuAndMemory, UpstreamCapacity } from './upstreamCapacity.js'
--- a/placement/topology/src/upstreamRoom.ts
+++ b/placement/topology/src/upstreamCapacity.ts
@@ -1,23 +1,23 @@
-/** The accelerators, processors and memory of one upstream, and who has a claim on each accelerator. */
+/** The resources of one upstream, and the gang, workspace or job that holds or reserves each accelerator. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { Demand } from './demand.js'
 import type { RunningGang } from './runningGang.js'
 
-/** Keeps shares such as a third of 1.2 cores from being rounded down by one. */
+/** Prevents a rounding error in a share, such as a third of 1.2 cores, from losing one accelerator. */
 const tolerance = 1e-9
 
-export class UpstreamRoom {
+export class UpstreamCapacity {
   readonly view: UpstreamView
   readonly holders: (RunningGang | undefined)[]
-  /** Workspaces whose guaranteed shapes are mapped here. */
+  /** For each accelerator: the workspace that has a guaranteed shape mapped to it. */
   readonly reservedFor: (string | undefined)[]
-  /** Waiting jobs for which accelerators are kept from work that cannot be stopped. */
+  /** For each accelerator: the waiting job whose forming block it belongs to; see `FormingBlocks`. */
   readonly formingFor: (string | undefined)[]
-  /** Waiting jobs that start here as soon as gangs being stopped are gone. */
+  /** For each accelerator: the waiting job that starts on it once the preempted gangs have stopped. */
   readonly promisedTo: (string | undefined)[]
   #freeCount: number
-  #cpuCores: number
-  #memoryBytes: number
+  #freeCpuCores: number
+  #freeMemoryBytes: number
 
   constructor(view: UpstreamView) {
     this.view = view
@@ -27,8 +27,8 @@
     this.formingFor = empty()
     this.promisedTo = empty()
     this.#freeCount = view.accelerators
-    this.#cpuCores = view.cpuCores
-    this.#memoryBytes = view.memoryBytes
+    this.#freeCpuCores = view.cpuCores
+    this.#freeMemoryBytes = view.memoryBytes
   }
 
   get upstreamId(): string {
@@ -39,22 +39,22 @@
     return this.holders.length
   }
 
-  /** Accelerators that no gang holds. */
+  /** Number of accelerators that no gang holds. */
   get freeCount(): number {
     return this.#freeCount
   }
 
   get freeCpuCores(): number {
-    return this.#cpuCores
+    return this.#freeCpuCores
   }
 
   get freeMemoryBytes(): number {
-    return this.#memoryBytes
+    return this.#freeMemoryBytes
   }
 
-  /** How many accelerators the free processors and memory suffice for, for members of this demand. */
-  countAffordable(demand: Demand): number {
-    return countAffordable(demand, this.#cpuCores, this.#memoryBytes)
+  /** Number of members of this gang for which the free processors and memory are enough. */
+  countByCpuAndMemory(demand: Demand): number {
+    return countByCpuAndMemory(demand, this.#freeCpuCores, this.#freeMemoryBytes)
   }
 
   hold(index: number, gang: RunningGang): void {
@@ -63,14 +63,14 @@
     this.holders[index] = gang
   }
 
-  use(cpuCores: number, memoryBytes: number): void {
-    this.#cpuCores -= cpuCores
-    this.#memoryBytes -= memoryBytes
+  deductResources(cpuCores: number, memoryBytes: number): void {
+    this.#freeCpuCores -= cpuCores
+    this.#freeMemoryBytes -= memoryBytes
   }
 }
 
-/** How many accelerators these processors and this memory suffice for, for members of this demand. */
-export function countAffordable(demand: Demand, cpuCores: number, memoryBytes: number): number {
+/** Number of members of this gang for which these processors and this memory are enough; may be infinite. */
+export function countByCpuAndMemory(demand: Demand, cpuCores: number, memoryBytes: number): number {
   const { accelerators } = demand.gang
   const byCpu = divide(cpuCores * accelerators, demand.cpuCores)
   const byMemory = divide(memoryBytes * accelerators, demand.memoryBytes)
