--- a/control/service/src/contractCalls.ts
+++ b/control/service/src/contractCalls.ts
@@ -46,7 +46,7 @@
     const { state } = this.#opts.holder
     const { contract, changeId, expectedRevision } = change
     const revision = state.getContract(contract.workspace)?.revision ?? 0
-    if (state.knowsChange(changeId) || revision !== expectedRevision) return
+    if (state.hasChange(changeId) || revision !== expectedRevision) return
     const upstreams = session.upstreams.list()
     const wasInUse = state.listContracts().length > 0
     // A cluster that has never had an upstream cannot be judged; the plan tells what is missing.
--- a/control/service/src/jobCalls.ts
+++ b/control/service/src/jobCalls.ts
@@ -70,7 +70,7 @@
     const { workspace, jobKey, gang } = request
     if (!this.#session.knowsUpstreams) return
     if (holder.state.getContract(workspace) === undefined) return
-    if (jobKey !== undefined && holder.state.knowsJobKey(workspace, jobKey)) return
+    if (jobKey !== undefined && holder.state.hasJobKey(workspace, jobKey)) return
     const upstreams = this.#session.upstreams.list()
     if (policy.canEverFit(request, upstreams)) return
     throw new NettlespurError(
--- a/control/state/src/applyContract.ts
+++ b/control/state/src/applyContract.ts
@@ -14,7 +14,7 @@
 ): CommandResult {
   const digest = digestValue(change)
   const earlier = data.changes.get(change.changeId)
-  if (earlier !== undefined) return answerAgain(change, earlier, digest)
+  if (earlier !== undefined) return repeatFirstResult(change, earlier, digest)
   const { workspace } = change.contract
   const present = data.contracts.get(workspace)
   const revision = present?.record.revision ?? 0
@@ -29,11 +29,15 @@
   const record = { contract: change.contract, revision: revision + 1, changeIndex: index }
   data.contracts.set(workspace, { record, changeId: change.changeId })
   data.contractIndex = index
-  rememberChange(data, change.changeId, { digest, revision: record.revision, changeIndex: index })
+  recordChange(data, change.changeId, { digest, revision: record.revision, changeIndex: index })
   return { type: 'contract', record }
 }
 
-function answerAgain(change: ContractChange, earlier: ChangeRecord, digest: string): CommandResult {
+function repeatFirstResult(
+  change: ContractChange,
+  earlier: ChangeRecord,
+  digest: string,
+): CommandResult {
   if (earlier.digest !== digest) {
     return refuse(
       'change-id-conflict',
@@ -45,7 +49,7 @@
   return { type: 'contract', record: { contract: change.contract, revision, changeIndex } }
 }
 
-function rememberChange(data: StateData, changeId: string, record: ChangeRecord): void {
+function recordChange(data: StateData, changeId: string, record: ChangeRecord): void {
   data.changes.set(changeId, record)
   for (const oldest of data.changes.keys()) {
     if (data.changes.size <= changeIdsMax) return
--- a/control/state/src/keepJob.ts
+++ b/control/state/src/cancelPreemption.ts
@@ -4,7 +4,7 @@
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
 import type { StateData } from './stateData.js'
 
-export function keepJob(
+export function cancelPreemption(
   data: StateData,
   _index: number,
   { at, jobId, fence, reason }: CommandOf<'job.keep'>,
--- a/control/state/src/changeClaim.ts
+++ b/control/state/src/changeClaim.ts
@@ -9,23 +9,23 @@
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { claimsMax } from './retention.js'
-import { openClaims, type StateData } from './stateData.js'
+import { getOrCreateClaims, type StateData } from './stateData.js'
 
 const retryAfterMs = 5000
 
 type ChangeClaim = CommandOf<'claim.change'>
-type Change<T extends ClaimChange['type']> = Extract<ClaimChange, { type: T }>
+type ClaimChangeOf<T extends ClaimChange['type']> = Extract<ClaimChange, { type: T }>
 
 export function changeClaim(data: StateData, index: number, command: ChangeClaim): CommandResult {
   const { change, at, lifetimeMs } = command
-  data.claims.get(change.workspace)?.forgetOld(data.timeMs, lifetimeMs)
+  data.claims.get(change.workspace)?.pruneExpired(data.timeMs, lifetimeMs)
   if (change.type === 'open') return openClaim(data, index, at, change)
   const claim = data.claims.get(change.workspace)?.get(change.key)
   if (claim === undefined) return refuse('unknown-job', `no claim for key ${change.key}`)
   // Whoever was overtaken learns from the claim what became of it.
   if (claim.fence !== change.fence || isResolved(claim)) return { type: 'claim', claim }
   if (change.type === 'settle') {
-    return putClaim(data, { ...claim, changedAt: at, outcome: boundAnswer(change.outcome) })
+    return putClaim(data, { ...claim, changedAt: at, outcome: dropOversizedBody(change.outcome) })
   }
   const { entryId, target } = change
   return putClaim(data, {
@@ -42,7 +42,7 @@
   data: StateData,
   index: number,
   at: string,
-  change: Change<'open'>,
+  change: ClaimChangeOf<'open'>,
 ): CommandResult {
   const { workspace, key, bodySha256, entryId, target } = change
   if (!data.contracts.has(workspace)) {
@@ -71,11 +71,11 @@
 }
 
 function putClaim(data: StateData, claim: Claim): CommandResult {
-  openClaims(data, claim.workspace).put(claim)
+  getOrCreateClaims(data, claim.workspace).put(claim)
   return { type: 'claim', claim }
 }
 
-function boundAnswer(outcome: ClaimOutcome): ClaimOutcome {
+function dropOversizedBody(outcome: ClaimOutcome): ClaimOutcome {
   if (outcome.kind !== 'answered' || outcome.bodyBytes <= claimAnswerBytesMax) return outcome
   return { ...outcome, bodyBase64: undefined }
 }
--- a/control/state/src/claimTable.ts
+++ b/control/state/src/claimTable.ts
@@ -48,7 +48,7 @@
   }
 
   /** Drops claims whose outcome has stood for their lifetime. One that still runs is always kept. */
-  forgetOld(timeMs: number, lifetimeMs: number): void {
+  pruneExpired(timeMs: number, lifetimeMs: number): void {
     for (const [key, { changedAt, outcome }] of this.#byKey) {
       if (outcome === undefined) continue
       if (timeMs - Date.parse(changedAt) <= lifetimeMs) return
--- a/control/state/src/command.ts
+++ b/control/state/src/command.ts
@@ -70,7 +70,7 @@
 })
 
 /** Gives up a preemption before anything was stopped: the gang runs on. */
-export const keepJobSchema = z.object({
+export const cancelPreemptionSchema = z.object({
   type: z.literal('job.keep'),
   at,
   jobId,
@@ -162,7 +162,7 @@
   markStartedSchema,
   finishJobSchema,
   preemptJobSchema,
-  keepJobSchema,
+  cancelPreemptionSchema,
   refuseJobSchema,
   requeueJobSchema,
   cancelJobSchema,
--- a/control/state/src/commandResult.ts
+++ b/control/state/src/commandResult.ts
@@ -8,18 +8,18 @@
 import { Left, Right, type Either } from 'purify-ts'
 import type { JobRecord } from './jobRecord.js'
 
-export interface ContractAccepted {
+export interface ContractResult {
   readonly type: 'contract'
   readonly record: ContractRecord
 }
 
-export interface JobChanged {
+export interface JobResult {
   readonly type: 'job'
   readonly job: JobRecord
 }
 
 /** The claim as it stands, whether or not this command changed it. */
-export interface ClaimStands {
+export interface ClaimResult {
   readonly type: 'claim'
   readonly claim: Claim
 }
@@ -30,7 +30,7 @@
   readonly error: NettlespurError
 }
 
-export type CommandResult = ContractAccepted | JobChanged | ClaimStands | Refused
+export type CommandResult = ContractResult | JobResult | ClaimResult | Refused
 
 export function refuse(
   kind: ErrorKind,
--- a/control/state/src/controlState.ts
+++ b/control/state/src/controlState.ts
@@ -12,7 +12,7 @@
 import { finishJob } from './finishJob.js'
 import type { JobRecord } from './jobRecord.js'
 import { markStarted } from './markStarted.js'
-import { keepJob } from './keepJob.js'
+import { cancelPreemption } from './cancelPreemption.js'
 import { placeJob } from './placeJob.js'
 import { preemptJob } from './preemptJob.js'
 import { refuseJob } from './refuseJob.js'
@@ -70,7 +70,7 @@
   }
 
   /** Whether an operator's change was accepted under this id and the id is still kept. */
-  knowsChange(changeId: string): boolean {
+  hasChange(changeId: string): boolean {
     return this.#data.changes.has(changeId)
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Whether a job was submitted under this key and the key is still kept. */
-  knowsJobKey(workspace: string, jobKey: string): boolean {
+  hasJobKey(workspace: string, jobKey: string): boolean {
     const history = this.#data.histories.get(workspace)
     return history?.jobKeys.has(jobKey) === true || history?.endedJobKeys.has(jobKey) === true
   }
@@ -135,7 +135,7 @@
     case 'job.preempt':
       return preemptJob(data, index, command)
     case 'job.keep':
-      return keepJob(data, index, command)
+      return cancelPreemption(data, index, command)
     case 'job.refuse':
       return refuseJob(data, index, command)
     case 'job.requeue':
--- a/control/state/src/endJob.ts
+++ b/control/state/src/endJob.ts
@@ -3,7 +3,7 @@
 import { refuse, type CommandResult } from './commandResult.js'
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
 import type { StateData } from './stateData.js'
-import { noteTaskFailure } from './upstreamHealth.js'
+import { recordTaskFailure } from './upstreamHealth.js'
 
 export function endJob(
   data: StateData,
@@ -17,6 +17,6 @@
     return refuse('internal', `${jobId} was never started, so it cannot end as ${outcome}`)
   }
   const result = changeJob(data, job, { at, event: `job.${outcome}`, reason, state: outcome })
-  if (result.type === 'job') noteTaskFailure(data, job, command)
+  if (result.type === 'job') recordTaskFailure(data, job, command)
   return result
 }
--- a/control/state/src/finishJob.ts
+++ b/control/state/src/finishJob.ts
@@ -1,11 +1,11 @@
 /** Ends a job with its whole answer. */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
-import { countAnswerBytes } from './forgetOldRecords.js'
+import { countAnswerBytes } from './pruneHistory.js'
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
 import { answerBytesMax } from './retention.js'
-import { openHistory, type StateData } from './stateData.js'
-import { noteSuccess } from './upstreamHealth.js'
+import { getOrCreateHistory, type StateData } from './stateData.js'
+import { recordSuccess } from './upstreamHealth.js'
 
 export function finishJob(
   data: StateData,
@@ -22,9 +22,9 @@
   if (bytes > answerBytesMax) {
     return refuse('body-too-large', `the answer of ${jobId} has ${bytes} bytes`)
   }
-  noteSuccess(data, job)
+  recordSuccess(data, job)
   const { workspace } = job.request
-  openHistory(data, workspace).answers.set(jobId, { jobId, attempt: job.attempts, parts })
+  getOrCreateHistory(data, workspace).answers.set(jobId, { jobId, attempt: job.attempts, parts })
   return changeJob(data, job, {
     at,
     event: 'job.finished',
--- a/control/state/src/index.ts
+++ b/control/state/src/index.ts
@@ -15,7 +15,7 @@
   type Refused,
 } from './commandResult.js'
 export { ControlState } from './controlState.js'
-export { legalMoves } from './jobChange.js'
+export { legalTransitions } from './jobChange.js'
 export { jobRecordSchema, toJobView, type JobRecord } from './jobRecord.js'
 export {
   answerBytesMax,
--- a/control/state/src/jobChange.ts
+++ b/control/state/src/jobChange.ts
@@ -2,11 +2,11 @@
 import { finalJobStates, type JobState } from '@nettlespur/api.schemas'
 import { refuse, type CommandResult, type Refused } from './commandResult.js'
 import type { JobRecord } from './jobRecord.js'
-import { forgetOldRecords } from './forgetOldRecords.js'
+import { pruneHistory } from './pruneHistory.js'
 import { decisionsMax } from './retention.js'
-import { openHistory, type StateData } from './stateData.js'
+import { getOrCreateHistory, type StateData } from './stateData.js'
 
-export const legalMoves: Readonly<Record<JobState, readonly JobState[]>> = {
+export const legalTransitions: Readonly<Record<JobState, readonly JobState[]>> = {
   queued: ['reserving', 'cancelled', 'failed'],
   reserving: ['queued', 'running', 'stopping'],
   running: ['queued', 'stopping', 'finished', 'failed', 'unknown'],
@@ -28,11 +28,11 @@
 
 /** Replaces the record, adds to its trace, and files it with the ended ones where the state is final. */
 export function changeJob(data: StateData, job: JobRecord, change: JobChange): CommandResult {
-  if (!legalMoves[job.state].includes(change.state)) {
+  if (!legalTransitions[job.state].includes(change.state)) {
     return refuse('internal', `${job.jobId} cannot go from ${job.state} to ${change.state}`)
   }
   const decision = { at: change.at, event: change.event, reason: change.reason }
-  const changed: JobRecord = withoutAbsent({
+  const changed: JobRecord = omitUndefined({
     ...job,
     ...change.fields,
     state: change.state,
@@ -43,7 +43,7 @@
     data.jobs.set(job.jobId, changed)
     return { type: 'job', job: changed }
   }
-  return { type: 'job', job: fileEndedJob(data, changed, change.at) }
+  return { type: 'job', job: archiveEndedJob(data, changed, change.at) }
 }
 
 /** The live job under this fence, or why a command about it comes too late. */
@@ -58,9 +58,9 @@
   return 'type' in found
 }
 
-function fileEndedJob(data: StateData, job: JobRecord, at: string): JobRecord {
+function archiveEndedJob(data: StateData, job: JobRecord, at: string): JobRecord {
   const ended: JobRecord = { ...job, endedAt: at, request: { ...job.request, payload: '' } }
-  const history = openHistory(data, job.request.workspace)
+  const history = getOrCreateHistory(data, job.request.workspace)
   data.jobs.delete(job.jobId)
   history.endedJobs.set(job.jobId, ended)
   const { jobKey } = job.request
@@ -69,12 +69,12 @@
     history.jobKeys.delete(jobKey)
     history.endedJobKeys.set(jobKey, { ...key, endedAt: at })
   }
-  forgetOldRecords(history, data.timeMs)
+  pruneHistory(history, data.timeMs)
   return ended
 }
 
 /** Leaves out fields that are undefined, so that a record equals its copy from a snapshot. */
-function withoutAbsent(job: JobRecord): JobRecord {
+function omitUndefined(job: JobRecord): JobRecord {
   const present = Object.entries(job).filter(([, value]) => value !== undefined)
   return Object.fromEntries(present) as unknown as JobRecord
 }
--- a/control/state/src/placeJob.ts
+++ b/control/state/src/placeJob.ts
@@ -13,7 +13,7 @@
   const job = data.jobs.get(command.jobId)
   if (job === undefined) return refuse('unknown-job', `${command.jobId} is not among the live jobs`)
   if (job.state !== 'queued') return refuse('internal', `${job.jobId} is ${job.state}, not queued`)
-  const fault = findFault(data, command.assignments, job.request.gang.accelerators)
+  const fault = findAssignmentError(data, command.assignments, job.request.gang.accelerators)
   if (fault !== undefined) return refuse('internal', `${job.jobId}: ${fault}`)
   const attempt = job.attempts + 1
   const members = command.assignments.map((assignment, rank): PlacementMember => {
@@ -33,16 +33,16 @@
   })
 }
 
-function findFault(
+function findAssignmentError(
   data: StateData,
   assignments: readonly Assignment[],
   accelerators: number,
 ): string | undefined {
-  const held = listHeld(data)
+  const held = collectHeldAccelerators(data)
   let count = 0
   for (const { upstreamId, acceleratorIndexes } of assignments) {
     for (const acceleratorIndex of acceleratorIndexes) {
-      const name = nameAccelerator(upstreamId, acceleratorIndex)
+      const name = formatAcceleratorId(upstreamId, acceleratorIndex)
       if (held.has(name)) return `accelerator ${name} is held`
       held.add(name)
       count += 1
@@ -52,18 +52,18 @@
   return `${count} accelerators for a gang of ${accelerators}`
 }
 
-function listHeld(data: StateData): Set<string> {
+function collectHeldAccelerators(data: StateData): Set<string> {
   const held = new Set<string>()
   for (const { placement } of data.jobs.values()) {
     for (const member of placement?.members ?? []) {
       for (const acceleratorIndex of member.acceleratorIndexes) {
-        held.add(nameAccelerator(member.upstreamId, acceleratorIndex))
+        held.add(formatAcceleratorId(member.upstreamId, acceleratorIndex))
       }
     }
   }
   return held
 }
 
-function nameAccelerator(upstreamId: string, acceleratorIndex: number): string {
+function formatAcceleratorId(upstreamId: string, acceleratorIndex: number): string {
   return `${upstreamId}/${acceleratorIndex}`
 }
--- a/control/state/src/forgetOldRecords.ts
+++ b/control/state/src/pruneHistory.ts
@@ -3,10 +3,10 @@
 import { endedJobMaxAgeMs, endedJobsMax, keptAnswerBytesMax } from './retention.js'
 import type { WorkspaceHistory } from './stateData.js'
 
-export function forgetOldRecords(history: WorkspaceHistory, timeMs: number): void {
-  forgetOldKeys(history, timeMs)
-  forgetOldJobs(history, timeMs)
-  forgetOldAnswers(history)
+export function pruneHistory(history: WorkspaceHistory, timeMs: number): void {
+  pruneJobKeys(history, timeMs)
+  pruneEndedJobs(history, timeMs)
+  pruneAnswers(history)
 }
 
 /** Bytes of an answer's parts. */
@@ -14,23 +14,23 @@
   return parts.reduce((sum, part) => sum + Buffer.byteLength(part.body), 0)
 }
 
-function forgetOldKeys(history: WorkspaceHistory, timeMs: number): void {
+function pruneJobKeys(history: WorkspaceHistory, timeMs: number): void {
   for (const [jobKey, { endedAt }] of history.endedJobKeys) {
-    if (!isTooOld(endedAt, timeMs)) return
+    if (!isExpired(endedAt, timeMs)) return
     history.endedJobKeys.delete(jobKey)
   }
 }
 
-function forgetOldJobs(history: WorkspaceHistory, timeMs: number): void {
+function pruneEndedJobs(history: WorkspaceHistory, timeMs: number): void {
   for (const [jobId, { endedAt }] of history.endedJobs) {
     const tooMany = history.endedJobs.size > endedJobsMax
-    if (!tooMany && !isTooOld(endedAt, timeMs)) return
+    if (!tooMany && !isExpired(endedAt, timeMs)) return
     history.endedJobs.delete(jobId)
     history.answers.delete(jobId)
   }
 }
 
-function forgetOldAnswers(history: WorkspaceHistory): void {
+function pruneAnswers(history: WorkspaceHistory): void {
   const sizes = [...history.answers].map(([id, answer]) => [id, countAnswerBytes(answer.parts)])
   let bytes = sizes.reduce((sum, [, size]) => sum + Number(size), 0)
   for (const [jobId, size] of sizes) {
@@ -40,6 +40,6 @@
   }
 }
 
-function isTooOld(endedAt: string | undefined, timeMs: number): boolean {
+function isExpired(endedAt: string | undefined, timeMs: number): boolean {
   return endedAt !== undefined && timeMs - Date.parse(endedAt) > endedJobMaxAgeMs
 }
--- a/control/state/src/requeueJob.ts
+++ b/control/state/src/requeueJob.ts
@@ -7,7 +7,7 @@
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
 import type { JobRecord } from './jobRecord.js'
 import type { StateData } from './stateData.js'
-import { listFailedUpstreams, noteTaskFailure } from './upstreamHealth.js'
+import { listFailedUpstreams, recordTaskFailure } from './upstreamHealth.js'
 
 export function requeueJob(
   data: StateData,
@@ -18,8 +18,8 @@
   if (isRefused(job)) return job
   const mayHaveRun = job.startCommitted && command.startSent
   if (job.cancelRequested) return refuse('internal', `${job.jobId} is cancelled`)
-  const goesOn = job.preemption !== undefined && command.checkpointId !== undefined
-  if (mayHaveRun && !job.request.repeatable && !goesOn) {
+  const canResume = job.preemption !== undefined && command.checkpointId !== undefined
+  if (mayHaveRun && !job.request.repeatable && !canResume) {
     return refuse('internal', `${job.jobId} is not repeatable and may have run`)
   }
   const result = changeJob(data, job, {
@@ -38,7 +38,7 @@
       failedAttempts: job.failedAttempts + (command.countsAsFailure ? 1 : 0),
     },
   })
-  if (result.type === 'job') noteTaskFailure(data, job, command)
+  if (result.type === 'job') recordTaskFailure(data, job, command)
   return result
 }
 
--- a/control/state/src/stateData.ts
+++ b/control/state/src/stateData.ts
@@ -67,7 +67,7 @@
 }
 
 /** The history of one workspace, made on first use. */
-export function openHistory(data: StateData, workspace: string): WorkspaceHistory {
+export function getOrCreateHistory(data: StateData, workspace: string): WorkspaceHistory {
   const known = data.histories.get(workspace)
   if (known !== undefined) return known
   const made = {
@@ -81,7 +81,7 @@
 }
 
 /** The claims of one workspace, made on first use. */
-export function openClaims(data: StateData, workspace: string): ClaimTable {
+export function getOrCreateClaims(data: StateData, workspace: string): ClaimTable {
   const known = data.claims.get(workspace)
   if (known !== undefined) return known
   const made = new ClaimTable()
--- a/control/state/src/stateSnapshot.ts
+++ b/control/state/src/stateSnapshot.ts
@@ -8,7 +8,12 @@
 } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 import { jobRecordSchema } from './jobRecord.js'
-import { createStateData, openClaims, type StateData, type WorkspaceHistory } from './stateData.js'
+import {
+  createStateData,
+  getOrCreateClaims,
+  type StateData,
+  type WorkspaceHistory,
+} from './stateData.js'
 import { upstreamHealthSchema } from './upstreamHealth.js'
 
 const changeSchema = z.object({
@@ -71,7 +76,7 @@
 
 function groupClaims(claims: readonly Claim[]): StateData['claims'] {
   const data = createStateData()
-  for (const claim of claims) openClaims(data, claim.workspace).put(claim)
+  for (const claim of claims) getOrCreateClaims(data, claim.workspace).put(claim)
   return data.claims
 }
 
--- a/control/state/src/submitJob.ts
+++ b/control/state/src/submitJob.ts
@@ -3,11 +3,11 @@
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult, type Refused } from './commandResult.js'
 import { digestValue } from './digestValue.js'
-import { forgetOldRecords } from './forgetOldRecords.js'
+import { pruneHistory } from './pruneHistory.js'
 import type { JobRecord } from './jobRecord.js'
 import { jobKeysMax } from './retention.js'
 import {
-  openHistory,
+  getOrCreateHistory,
   type JobKeyRecord,
   type StateData,
   type WorkspaceHistory,
@@ -25,12 +25,12 @@
   if (contract === undefined) {
     return refuse('unknown-workspace', `no contract for workspace ${request.workspace}`)
   }
-  const history = openHistory(data, request.workspace)
-  forgetOldRecords(history, data.timeMs)
+  const history = getOrCreateHistory(data, request.workspace)
+  pruneHistory(history, data.timeMs)
   const digest = digestValue(request)
-  const known = findKey(history, request.jobKey)
-  if (known !== undefined) return answerAgain(data, history, known, digest)
-  const fault = findFault(data, history, request, contract.limits)
+  const known = findJobKey(history, request.jobKey)
+  if (known !== undefined) return repeatFirstResult(data, history, known, digest)
+  const fault = findLimitViolation(data, history, request, contract.limits)
   if (fault !== undefined) return fault
   const job = createJob(`job-${index}`, request, at)
   data.jobs.set(job.jobId, job)
@@ -40,12 +40,15 @@
   return { type: 'job', job }
 }
 
-function findKey(history: WorkspaceHistory, jobKey: string | undefined): JobKeyRecord | undefined {
+function findJobKey(
+  history: WorkspaceHistory,
+  jobKey: string | undefined,
+): JobKeyRecord | undefined {
   if (jobKey === undefined) return undefined
   return history.jobKeys.get(jobKey) ?? history.endedJobKeys.get(jobKey)
 }
 
-function answerAgain(
+function repeatFirstResult(
   data: StateData,
   history: WorkspaceHistory,
   known: JobKeyRecord,
@@ -65,7 +68,7 @@
   return refuse('answer-expired', `${known.jobId} of this job key has ended and is no longer kept`)
 }
 
-function findFault(
+function findLimitViolation(
   data: StateData,
   history: WorkspaceHistory,
   request: JobRequest,
@@ -84,7 +87,7 @@
       `a gang of ${accelerators} accelerators is more than the contract allows at once, ${limits.concurrentAccelerators}`,
     )
   }
-  const waiting = countWaiting(data, request.workspace)
+  const waiting = countQueuedJobs(data, request.workspace)
   if (waiting >= limits.queuedJobs) {
     return refuse('queue-full', `${waiting} jobs of ${request.workspace} are queued already`, {
       retryAfterMs: queueRetryAfterMs,
@@ -98,7 +101,7 @@
   })
 }
 
-function countWaiting(data: StateData, workspace: string): number {
+function countQueuedJobs(data: StateData, workspace: string): number {
   let count = 0
   for (const job of data.jobs.values()) {
     if (job.state === 'queued' && job.request.workspace === workspace) count += 1
--- a/control/state/src/upstreamHealth.ts
+++ b/control/state/src/upstreamHealth.ts
@@ -10,10 +10,10 @@
 import type { StateData } from './stateData.js'
 
 /** Jobs whose marks quarantine an upstream. */
-export const quarantineMarks = 3
+export const quarantineMarkCount = 3
 /** An upstream that may hold more gangs than this again is let back. */
 const admittedGangsMax = 4
-const firstPauseMs = 10_000
+const initialPauseMs = 10_000
 const longestPauseMs = 600_000
 
 const quarantineSchema = z.object({
@@ -47,28 +47,31 @@
   return [...known, failure.upstreamId]
 }
 
-export function noteTaskFailure(
+export function recordTaskFailure(
   data: StateData,
   job: JobRecord,
   { at, failure }: AttemptEnd,
 ): void {
   if (failure === undefined) return
   const elsewhere = job.failedUpstreamIds.filter((id) => id !== failure.upstreamId)
-  for (const upstreamId of elsewhere) takeMarkBack(data, upstreamId, job.jobId)
+  for (const upstreamId of elsewhere) removeMark(data, upstreamId, job.jobId)
   const health = data.upstreamHealth.get(failure.upstreamId) ?? { markedBy: [] }
   if (health.quarantine !== undefined) {
-    if (elsewhere.length === 0) data.upstreamHealth.set(failure.upstreamId, prolong(health, at))
+    if (elsewhere.length === 0)
+      data.upstreamHealth.set(failure.upstreamId, extendQuarantine(health, at))
     return
   }
   if (!failure.fast || elsewhere.length > 0 || health.markedBy.includes(job.jobId)) return
   const markedBy = [...health.markedBy, job.jobId]
   const changed =
-    markedBy.length < quarantineMarks ? { markedBy } : { markedBy, quarantine: open(at) }
+    markedBy.length < quarantineMarkCount
+      ? { markedBy }
+      : { markedBy, quarantine: startQuarantine(at) }
   data.upstreamHealth.set(failure.upstreamId, changed)
 }
 
 /** A finished job speaks for each upstream it ran on. */
-export function noteSuccess(data: StateData, job: JobRecord): void {
+export function recordSuccess(data: StateData, job: JobRecord): void {
   for (const { upstreamId } of job.placement?.members ?? []) {
     const quarantine = data.upstreamHealth.get(upstreamId)?.quarantine
     const admittedGangs = (quarantine?.admittedGangs ?? admittedGangsMax) * 2
@@ -81,7 +84,7 @@
   }
 }
 
-function takeMarkBack(data: StateData, upstreamId: string, jobId: string): void {
+function removeMark(data: StateData, upstreamId: string, jobId: string): void {
   const health = data.upstreamHealth.get(upstreamId)
   if (health?.markedBy.includes(jobId) !== true) return
   const markedBy = health.markedBy.filter((id) => id !== jobId)
@@ -91,13 +94,13 @@
   else data.upstreamHealth.delete(upstreamId)
 }
 
-function open(at: string): z.infer<typeof quarantineSchema> {
-  const probeAt = addMs(at, firstPauseMs)
-  return { since: at, probeAt, pauseMs: firstPauseMs, admittedGangs: 1, probed: false }
+function startQuarantine(at: string): z.infer<typeof quarantineSchema> {
+  const probeAt = addMs(at, initialPauseMs)
+  return { since: at, probeAt, pauseMs: initialPauseMs, admittedGangs: 1, probed: false }
 }
 
 /** A failure in quarantine doubles the pause, and the way back begins anew. */
-function prolong({ markedBy, quarantine }: UpstreamHealth, at: string): UpstreamHealth {
+function extendQuarantine({ markedBy, quarantine }: UpstreamHealth, at: string): UpstreamHealth {
   if (quarantine === undefined || at < quarantine.probeAt) return { markedBy, quarantine }
   const pauseMs = Math.min(quarantine.pauseMs * 2, longestPauseMs)
   const probeAt = addMs(at, pauseMs)
--- a/control/state/test/controlState.test.ts
+++ b/control/state/test/controlState.test.ts
@@ -25,7 +25,7 @@
 }
 
 /** Aims a command about a job at a live one, and mostly at its present placement. */
-function aim(state: ControlState, command: Command): Command {
+function targetLiveJob(state: ControlState, command: Command): Command {
   if (!('jobId' in command)) return command
   const jobs = state.listLiveJobs()
   const job = jobs[Number(command.jobId.slice('job-'.length)) % Math.max(1, jobs.length)]
@@ -155,7 +155,7 @@
       for (const state of [whole, restored]) applyChange(state, change('initial', 0))
       for (const [step, command] of list.entries()) {
         if (step === cut) restored = restoreFrom(restored)
-        const aimed = aim(whole, command)
+        const aimed = targetLiveJob(whole, command)
         apply(whole, aimed)
         apply(restored, aimed)
       }
@@ -171,7 +171,7 @@
     applyChange(state, change('initial', 0))
     const mayHaveRun = new Set<string>()
     for (const proposed of list) {
-      const command = aim(state, proposed)
+      const command = targetLiveJob(state, proposed)
       const result = apply(state, command)
       const held = state.listLiveJobs().flatMap((job) => job.placement?.members ?? [])
       const indexes = held.flatMap((member) => member.acceleratorIndexes)
