--- a/control/state/src/applyContract.ts
+++ b/control/state/src/applyContract.ts
@@ -1,4 +1,4 @@
-/** Accepts or refuses an operator's change of a contract. */
+/** Applies an operator's contract change, with optimistic concurrency control by revision. */
 import type { ContractChange } from '@nettlespur/api.schemas'
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
@@ -6,7 +6,10 @@
 import { changeIdsMax } from './retention.js'
 import type { ChangeRecord, StateData } from './stateData.js'
 
-/** A change id seen before gives its first answer again, also where newer revisions have followed. */
+/**
+ * Idempotent by change id: a resent change returns its first result, even if newer revisions have been
+ * accepted since.
+ */
 export function applyContract(
   data: StateData,
   index: number,
@@ -23,7 +26,7 @@
     return refuse(
       'stale-revision',
       `the contract of ${workspace} is at revision ${revision}${winner}; the change expected ${change.expectedRevision}`,
-      { hint: 'read the contract again, and send the change with its present revision' },
+      { hint: 'read the contract again and resend the change with the current revision' },
     )
   }
   const record = { contract: change.contract, revision: revision + 1, changeIndex: index }
@@ -41,7 +44,7 @@
   if (earlier.digest !== digest) {
     return refuse(
       'change-id-conflict',
-      `change ${change.changeId} was accepted with another body, as change index ${earlier.changeIndex}`,
+      `change ${change.changeId} was already accepted with a different body, at change index ${earlier.changeIndex}`,
       { hint: 'use a new change id for a new change' },
     )
   }
--- a/control/state/src/cancelJob.ts
+++ b/control/state/src/cancelJob.ts
@@ -1,4 +1,7 @@
-/** Records a caller's wish to end a job. Queued jobs end at once, placed ones after their members stopped. */
+/**
+ * Records a caller's request to cancel a job. A queued job ends at once; a placed job ends after all its
+ * members have stopped.
+ */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { changeJob } from './jobChange.js'
--- a/control/state/src/cancelPreemption.ts
+++ b/control/state/src/cancelPreemption.ts
@@ -1,4 +1,4 @@
-/** Takes a preemption back, so that the gang runs on as if it had never been asked to stop. */
+/** Cancels a preemption: the gang keeps running as if it had never been preempted. */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
@@ -12,7 +12,7 @@
   const job = findPlacedJob(data, jobId, fence)
   if (isRefused(job)) return job
   if (job.preemption === undefined || !job.startCommitted) {
-    return refuse('internal', `${jobId} is not a started gang that was preempted`)
+    return refuse('internal', `${jobId} is not a started gang with a pending preemption`)
   }
   return changeJob(data, job, {
     at,
--- a/control/state/src/changeClaim.ts
+++ b/control/state/src/changeClaim.ts
@@ -1,4 +1,7 @@
-/** Opens, moves and settles claims. Every answer is the claim as it stands afterwards. */
+/**
+ * Opens, moves and settles claims. Unless refused, each change returns the claim as it stands afterwards,
+ * whether or not the change took effect.
+ */
 import {
   claimAnswerBytesMax,
   type Claim,
@@ -22,7 +25,7 @@
   if (change.type === 'open') return openClaim(data, index, at, change)
   const claim = data.claims.get(change.workspace)?.get(change.key)
   if (claim === undefined) return refuse('unknown-job', `no claim for key ${change.key}`)
-  // Whoever was overtaken learns from the claim what became of it.
+  // A holder with a stale fence gets the current claim, which tells it what became of the request.
   if (claim.fence !== change.fence || isResolved(claim)) return { type: 'claim', claim }
   if (change.type === 'settle') {
     return putClaim(data, { ...claim, changedAt: at, outcome: dropOversizedBody(change.outcome) })
@@ -55,15 +58,19 @@
       hint: 'use a new idempotency key for a new request',
     })
   }
-  // What is confirmed not to have run may be tried again under its key.
+  // A request that is confirmed not to have run may be retried under its key.
   if (known !== undefined && known.outcome?.kind !== 'not-run') {
     return { type: 'claim', claim: known }
   }
   if (known === undefined && (claims?.size ?? 0) >= claimsMax) {
-    return refuse('over-limit', `${claimsMax} keys of ${workspace} are kept already`, {
-      retryAfterMs,
-      hint: 'a key is kept for the claim lifetime of the settings after its outcome is known',
-    })
+    return refuse(
+      'over-limit',
+      `${claimsMax} keys of workspace ${workspace} are already kept, the maximum`,
+      {
+        retryAfterMs,
+        hint: 'a key is kept after its outcome is known, for the claim lifetime in the settings',
+      },
+    )
   }
   const resolveFrom = new Date(Date.parse(at) + change.remainingMs).toISOString()
   const fields = { workspace, key, bodySha256, entryId, target }
--- a/control/state/src/claimTable.ts
+++ b/control/state/src/claimTable.ts
@@ -1,11 +1,11 @@
 /**
- * The claims of one workspace, in order of their last change. Expired ones go by the time of commands,
- * never by a clock.
+ * The claims of one workspace, in order of their last change. Expiry is judged by the timestamps of
+ * commands, never by a local clock, so that all instances drop the same claims.
  */
 import type { Claim } from '@nettlespur/api.schemas'
 import { claimAnswersBytesMax } from './retention.js'
 
-/** Whether it is known what became of the request. */
+/** Returns true if the outcome of the claimed request is known. */
 export function isResolved({ outcome }: Claim): boolean {
   return outcome !== undefined && outcome.kind !== 'unknown'
 }
@@ -13,7 +13,7 @@
 export class ClaimTable {
   readonly #byKey = new Map<string, Claim>()
   readonly #unresolved = new Set<string>()
-  /** Bytes of each answer that is kept, oldest first. */
+  /** Size in bytes of each kept answer by claim key, oldest first. */
   readonly #answers = new Map<string, number>()
   #answerBytes = 0
 
@@ -33,7 +33,10 @@
     return [...this.#unresolved].flatMap((key) => this.#byKey.get(key) ?? [])
   }
 
-  /** Puts a claim behind all others: it changed last. The oldest answers go until the others fit. */
+  /**
+   * Inserts or replaces a claim and moves it to the end of the order. Drops the bodies of the oldest answers
+   * until the rest fit into `claimAnswersBytesMax`.
+   */
   put(claim: Claim): void {
     this.#drop(claim.key)
     this.#byKey.set(claim.key, claim)
@@ -47,7 +50,7 @@
     }
   }
 
-  /** Drops claims whose outcome has stood for their lifetime. One that still runs is always kept. */
+  /** Drops claims whose last change is older than `lifetimeMs`. A claim without an outcome is always kept. */
   pruneExpired(timeMs: number, lifetimeMs: number): void {
     for (const [key, { changedAt, outcome }] of this.#byKey) {
       if (outcome === undefined) continue
--- a/control/state/src/command.ts
+++ b/control/state/src/command.ts
@@ -1,6 +1,6 @@
 /**
- * The commands of the replicated state. Each carries the wall time of its proposer, so that applying one
- * never reads a clock.
+ * The commands of the replicated state. Each carries the wall-clock time of its proposer, so that applying
+ * a command never reads a clock and gives the same result on every instance.
  */
 import {
   claimChangeSchema,
@@ -16,7 +16,7 @@
 const at = z.iso.datetime()
 const jobId = z.string().min(1)
 
-/** Accepts a contract where its revision is the one the operator saw. */
+/** Applies a contract change if the contract is still at the revision that the operator expected. */
 export const applyContractSchema = z.object({
   type: z.literal('contract.apply'),
   at,
@@ -29,7 +29,7 @@
   request: jobRequestSchema,
 })
 
-/** Where one member of a gang goes. */
+/** The upstream and accelerators assigned to one member of a gang. */
 export const assignmentSchema = z.object({
   upstreamId: identifierSchema,
   address: z.string(),
@@ -37,7 +37,7 @@
 })
 export type Assignment = z.infer<typeof assignmentSchema>
 
-/** Gives a queued job its accelerators; its fence is the log index of this command. */
+/** Places a queued job on accelerators. The log index of this command becomes the placement's fence. */
 export const placeJobSchema = z.object({
   type: z.literal('job.place'),
   at,
@@ -46,7 +46,10 @@
   reason: z.string(),
 })
 
-/** Committed before the first start is sent: from here on a job that is not repeatable may have run. */
+/**
+ * Committed before the first start is sent. From then on the job may have run, which limits the retries of
+ * a job that is not repeatable.
+ */
 export const markStartedSchema = z.object({
   type: z.literal('job.started'),
   at,
@@ -55,21 +58,21 @@
 })
 
 /**
- * Asks for a placed gang to be stopped, so that another job may have its accelerators; it is queued again.
- * With a checkpoint, one is taken first.
+ * Requests that a placed gang be stopped and queued again, to free its accelerators for another job or to
+ * vacate its upstream. With `withCheckpoint`, a checkpoint is taken first.
  */
 export const preemptJobSchema = z.object({
   type: z.literal('job.preempt'),
   at,
   jobId,
   fence: fenceSchema,
-  /** Absent where the gang makes way for no job, but leaves its upstream. */
+  /** The job that gets the accelerators. Absent if the gang only vacates its upstream. */
   forJobId: jobId.optional(),
   withCheckpoint: z.boolean(),
   reason: z.string(),
 })
 
-/** Gives up a preemption before anything was stopped: the gang runs on. */
+/** Cancels a preemption before any member was stopped; the gang keeps running. */
 export const cancelPreemptionSchema = z.object({
   type: z.literal('job.keep'),
   at,
@@ -86,10 +89,10 @@
   reason: z.string(),
 })
 
-/** The upstream whose task failed by itself. */
+/** The upstream on which a task failed on its own. */
 export const taskFailureSchema = z.object({
   upstreamId: identifierSchema,
-  /** True where it failed so soon after its start that the upstream is under suspicion. */
+  /** True if the task failed so soon after its start that the upstream may be faulty. */
   fast: z.boolean(),
 })
 export type TaskFailure = z.infer<typeof taskFailureSchema>
@@ -102,20 +105,20 @@
   parts: z.array(z.object({ taskId: z.string(), upstreamId: identifierSchema, body: z.string() })),
 })
 
-/** Takes a job whose members are all known to be stopped back into the queue. */
+/** Returns a job to the queue; all its members are known to be stopped. */
 export const requeueJobSchema = z.object({
   type: z.literal('job.requeue'),
   at,
   jobId,
   fence: fenceSchema,
   reason: z.string(),
-  /** Not placed again before this time. */
+  /** The job is not placed again before this time. */
   retryAt: at,
-  /** False where it is certain that no start of this attempt left. */
+  /** False only if it is certain that no start request of this attempt was sent. */
   startSent: z.boolean(),
-  /** True where the attempt was started and did not finish. */
+  /** True if the attempt was started and did not finish. */
   countsAsFailure: z.boolean(),
-  /** A checkpoint of the whole gang, for the next attempt. */
+  /** A checkpoint of the whole gang, from which the next attempt resumes. */
   checkpointId: z.string().optional(),
   failure: taskFailureSchema.optional(),
 })
@@ -127,7 +130,7 @@
   jobId,
 })
 
-/** Ends a job without an answer; its members are all known to be stopped. */
+/** Ends a job without an answer; all its members are known to be stopped. */
 export const endJobSchema = z.object({
   type: z.literal('job.ended'),
   at,
@@ -138,7 +141,7 @@
   failure: taskFailureSchema.optional(),
 })
 
-/** One change of a claim, and how long the claim is kept once its outcome is known. */
+/** Changes one claim. `lifetimeMs` is how long a claim is kept once its outcome is known. */
 export const changeClaimSchema = z.object({
   type: z.literal('claim.change'),
   at,
@@ -146,7 +149,7 @@
   lifetimeMs: durationMsSchema,
 })
 
-/** Takes an unresolved claim from its entry, so that its task can be stopped under a higher fence. */
+/** Takes an unresolved claim away from its entry, so that its task can be stopped under a higher fence. */
 export const takeClaimSchema = z.object({
   type: z.literal('claim.take'),
   at,
@@ -172,5 +175,5 @@
 ])
 export type Command = z.infer<typeof commandSchema>
 
-/** One member of the union, by its type. */
+/** The command of the given type. */
 export type CommandOf<T extends Command['type']> = Extract<Command, { type: T }>
--- a/control/state/src/commandResult.ts
+++ b/control/state/src/commandResult.ts
@@ -1,4 +1,4 @@
-/** What applying a command gave: the record it made or changed, or why it changed nothing. */
+/** The result of applying a command: the record concerned, or the reason for refusing the command. */
 import type { Claim, ContractRecord } from '@nettlespur/api.schemas'
 import {
   NettlespurError,
@@ -18,13 +18,13 @@
   readonly job: JobRecord
 }
 
-/** The claim as it stands, whether or not this command changed it. */
+/** The claim after the command, whether or not the command changed it. */
 export interface ClaimResult {
   readonly type: 'claim'
   readonly claim: Claim
 }
 
-/** The state is as it was before. */
+/** The command was refused and had no effect. */
 export interface Refused {
   readonly type: 'refused'
   readonly error: NettlespurError
@@ -40,19 +40,19 @@
   return { type: 'refused', error: new NettlespurError(kind, message, opts) }
 }
 
-/** The job of a result. Errors: the refusal's own. */
+/** Returns the job of a result. Errors: the error of the refusal. */
 export function readJob(result: CommandResult): Either<NettlespurError, JobRecord> {
   if (result.type === 'job') return Right(result.job)
   return Left(toError(result))
 }
 
-/** The contract of a result. Errors: the refusal's own. */
+/** Returns the contract of a result. Errors: the error of the refusal. */
 export function readContract(result: CommandResult): Either<NettlespurError, ContractRecord> {
   if (result.type === 'contract') return Right(result.record)
   return Left(toError(result))
 }
 
-/** The claim of a result. Errors: the refusal's own. */
+/** Returns the claim of a result. Errors: the error of the refusal. */
 export function readClaim(result: CommandResult): Either<NettlespurError, Claim> {
   if (result.type === 'claim') return Right(result.claim)
   return Left(toError(result))
@@ -60,5 +60,5 @@
 
 function toError(result: CommandResult): NettlespurError {
   if (result.type === 'refused') return result.error
-  return new NettlespurError('internal', `a ${result.type} was not what this command gives`)
+  return new NettlespurError('internal', `unexpected command result of type ${result.type}`)
 }
--- a/control/state/src/controlState.ts
+++ b/control/state/src/controlState.ts
@@ -1,6 +1,7 @@
 /**
- * The replicated state: contracts, operator changes and jobs. Equal commands in equal order give equal
- * states on every instance; nothing here reads a clock, a random number or a file.
+ * The replicated state: contracts, operator changes, jobs, claims and upstream health. It is deterministic:
+ * the same commands in the same order give the same state on every instance, so nothing here reads a clock,
+ * a random number or a file.
  */
 import type { Claim, ClaimKey, ContractRecord, JobAnswer } from '@nettlespur/api.schemas'
 import { applyContract } from './applyContract.js'
@@ -42,10 +43,12 @@
     return takeSnapshot(this.#data)
   }
 
-  /** Applies one committed command. `index` is its place in the log, higher than any before. */
+  /** Applies one committed command. `index` is its log index and must be higher than any applied before. */
   apply(index: number, command: Command): CommandResult {
     if (index <= this.#data.appliedIndex) {
-      throw new Error(`index ${index} comes after ${this.#data.appliedIndex}`)
+      throw new Error(
+        `log index ${index} is not above the applied index ${this.#data.appliedIndex}`,
+      )
     }
     this.#data.appliedIndex = index
     this.#data.timeMs = Math.max(this.#data.timeMs, Date.parse(command.at))
@@ -56,7 +59,7 @@
     return this.#data.appliedIndex
   }
 
-  /** Index of the newest accepted contract change; 0 where there is none. */
+  /** Log index of the newest accepted contract change; 0 if there is none. */
   get contractIndex(): number {
     return this.#data.contractIndex
   }
@@ -69,7 +72,7 @@
     return this.#data.contracts.get(workspace)?.record
   }
 
-  /** Whether an operator's change was accepted under this id and the id is still kept. */
+  /** Returns true if a contract change was accepted under this id and the id is still kept. */
   hasChange(changeId: string): boolean {
     return this.#data.changes.has(changeId)
   }
@@ -79,7 +82,7 @@
     return [...this.#data.jobs.values()]
   }
 
-  /** Ended jobs still kept, over all workspaces. */
+  /** Ended jobs of all workspaces that are still kept. */
   listEndedJobs(): JobRecord[] {
     return [...this.#data.histories.values()].flatMap((history) => [...history.endedJobs.values()])
   }
@@ -88,20 +91,20 @@
     return this.#data.jobs.get(jobId)
   }
 
-  /** A job of this workspace, live or ended. */
+  /** Returns a live or ended job of this workspace; undefined if the job belongs to another workspace. */
   getJob(workspace: string, jobId: string): JobRecord | undefined {
     const live = this.#data.jobs.get(jobId)
     if (live !== undefined) return live.request.workspace === workspace ? live : undefined
     return this.#data.histories.get(workspace)?.endedJobs.get(jobId)
   }
 
-  /** Whether a job was submitted under this key and the key is still kept. */
+  /** Returns true if a job was submitted under this key and the key is still kept. */
   hasJobKey(workspace: string, jobKey: string): boolean {
     const history = this.#data.histories.get(workspace)
     return history?.jobKeys.has(jobKey) === true || history?.endedJobKeys.has(jobKey) === true
   }
 
-  /** What is held against an upstream; undefined where nothing is. */
+  /** Returns the failure marks and quarantine of an upstream; undefined if it has neither. */
   getUpstreamHealth(upstreamId: string): UpstreamHealth | undefined {
     return this.#data.upstreamHealth.get(upstreamId)
   }
@@ -110,7 +113,7 @@
     return this.#data.claims.get(workspace)?.get(key)
   }
 
-  /** Claims whose outcome is open or unknown. */
+  /** Claims without an outcome, or whose outcome is `unknown`. */
   listUnresolvedClaims(): Claim[] {
     return [...this.#data.claims.values()].flatMap((claims) => claims.listUnresolved())
   }
--- a/control/state/src/digestValue.ts
+++ b/control/state/src/digestValue.ts
@@ -1,7 +1,7 @@
-/** A digest that is equal for equal values, whatever the order of their fields. */
+/** Computes a digest of a JSON value that does not depend on the order of its fields. */
 import { createHash } from 'node:crypto'
 
-/** SHA-256 in hexadecimal digits. */
+/** Returns the SHA-256 digest in hexadecimal. */
 export function digestValue(value: unknown): string {
   return createHash('sha256').update(JSON.stringify(value, sortFields)).digest('hex')
 }
--- a/control/state/src/endJob.ts
+++ b/control/state/src/endJob.ts
@@ -1,4 +1,4 @@
-/** Ends a job without an answer. */
+/** Ends a placed job without an answer: as failed, cancelled or unknown. */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
--- a/control/state/src/finishJob.ts
+++ b/control/state/src/finishJob.ts
@@ -1,4 +1,4 @@
-/** Ends a job with its whole answer. */
+/** Ends a job as finished and stores its answer, which has one part from each gang member. */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { countAnswerBytes } from './pruneHistory.js'
@@ -16,7 +16,10 @@
   if (isRefused(job)) return job
   if (!job.startCommitted) return refuse('internal', `${jobId} was never started`)
   if (parts.length !== job.placement?.members.length) {
-    return refuse('internal', `${jobId}: ${parts.length} parts are not the whole answer`)
+    return refuse(
+      'internal',
+      `${jobId}: the answer has ${parts.length} parts, not one of each member`,
+    )
   }
   const bytes = countAnswerBytes(parts)
   if (bytes > answerBytesMax) {
--- a/control/state/src/jobChange.ts
+++ b/control/state/src/jobChange.ts
@@ -1,4 +1,4 @@
-/** The legal moves of a job between its states, and how a record is replaced by its successor. */
+/** The state machine of a job: its legal transitions, and how a job record is replaced by a changed one. */
 import { finalJobStates, type JobState } from '@nettlespur/api.schemas'
 import { refuse, type CommandResult, type Refused } from './commandResult.js'
 import type { JobRecord } from './jobRecord.js'
@@ -19,17 +19,20 @@
 
 export interface JobChange {
   readonly at: string
-  /** Name of the decision in the job's trace. */
+  /** Name of this decision in the job's trace. */
   readonly event: string
   readonly reason: string
   readonly state: JobState
   readonly fields?: Partial<JobRecord>
 }
 
-/** Replaces the record, adds to its trace, and files it with the ended ones where the state is final. */
+/**
+ * Replaces a job's record and adds the decision to its trace. If the new state is final, moves the job to the
+ * ended jobs of its workspace. Refuses a transition that is not legal.
+ */
 export function changeJob(data: StateData, job: JobRecord, change: JobChange): CommandResult {
   if (!legalTransitions[job.state].includes(change.state)) {
-    return refuse('internal', `${job.jobId} cannot go from ${job.state} to ${change.state}`)
+    return refuse('internal', `${job.jobId} cannot change from ${job.state} to ${change.state}`)
   }
   const decision = { at: change.at, event: change.event, reason: change.reason }
   const changed: JobRecord = omitUndefined({
@@ -46,7 +49,7 @@
   return { type: 'job', job: archiveEndedJob(data, changed, change.at) }
 }
 
-/** The live job under this fence, or why a command about it comes too late. */
+/** Returns the live job placed under this fence, or a refusal if the job has ended or the fence is stale. */
 export function findPlacedJob(data: StateData, jobId: string, fence: number): JobRecord | Refused {
   const job = data.jobs.get(jobId)
   if (job === undefined) return refuse('unknown-job', `${jobId} is not among the live jobs`)
@@ -73,7 +76,7 @@
   return ended
 }
 
-/** Leaves out fields that are undefined, so that a record equals its copy from a snapshot. */
+/** Omits undefined fields, so that a record equals its copy restored from a snapshot. */
 function omitUndefined(job: JobRecord): JobRecord {
   const present = Object.entries(job).filter(([, value]) => value !== undefined)
   return Object.fromEntries(present) as unknown as JobRecord
--- a/control/state/src/jobRecord.ts
+++ b/control/state/src/jobRecord.ts
@@ -1,4 +1,4 @@
-/** A job as the replicated state holds it. Records are replaced, never changed in place. */
+/** A job in the replicated state. Records are immutable: a change replaces the record. */
 import {
   countSchema,
   decisionSchema,
@@ -22,23 +22,23 @@
   state: jobStateSchema,
   reason: z.string(),
   attempts: countSchema,
-  /** Started attempts that did not finish. */
+  /** Number of attempts that were started and did not finish. */
   failedAttempts: countSchema,
   submittedAt: z.iso.datetime(),
   startedAt: z.iso.datetime().optional(),
   endedAt: z.iso.datetime().optional(),
-  /** Not placed before this time. */
+  /** The job is not placed before this time. */
   retryAt: z.iso.datetime().optional(),
-  /** Held until every member is known to be stopped. */
+  /** Kept until every member is known to be stopped; until then its accelerators count as in use. */
   placement: placementSchema.optional(),
-  /** True once a start of the present placement may have left. */
+  /** True once a start request of the current placement may have been sent. */
   startCommitted: z.boolean(),
   cancelRequested: z.boolean(),
-  /** Set while the gang is stopped for another job; it is queued again after that. */
+  /** Set from the preemption until the gang is queued again, or the preemption or the job is cancelled. */
   preemption: preemptionSchema.optional(),
-  /** The newest checkpoint of the whole gang; the next attempt goes on from it. */
+  /** The newest checkpoint of the whole gang; the next attempt resumes from it. */
   checkpointId: z.string().optional(),
-  /** Where its tasks failed by themselves, each once. */
+  /** Upstreams on which a task of this job failed on its own, without duplicates. */
   failedUpstreamIds: z.array(z.string()).default([]),
   decisions: z.array(decisionSchema),
 })
--- a/control/state/src/markStarted.ts
+++ b/control/state/src/markStarted.ts
@@ -1,4 +1,4 @@
-/** Records that the start of a gang is about to be sent. */
+/** Records that the start requests of a gang are about to be sent. */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
@@ -12,7 +12,10 @@
   const job = findPlacedJob(data, jobId, fence)
   if (isRefused(job)) return job
   if (job.state === 'stopping') {
-    return refuse('cancelled-before-start', `${jobId} is to stop before its start: ${job.reason}`)
+    return refuse(
+      'cancelled-before-start',
+      `${jobId} is being stopped before its start: ${job.reason}`,
+    )
   }
   return changeJob(data, job, {
     at,
--- a/control/state/src/placeJob.ts
+++ b/control/state/src/placeJob.ts
@@ -1,4 +1,4 @@
-/** Gives a queued job its accelerators. The state itself refuses an accelerator that is held. */
+/** Places a queued job on accelerators. Refuses an accelerator that is already allocated. */
 import type { PlacementMember } from '@nettlespur/api.schemas'
 import type { Assignment, CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
@@ -43,13 +43,13 @@
   for (const { upstreamId, acceleratorIndexes } of assignments) {
     for (const acceleratorIndex of acceleratorIndexes) {
       const name = formatAcceleratorId(upstreamId, acceleratorIndex)
-      if (held.has(name)) return `accelerator ${name} is held`
+      if (held.has(name)) return `accelerator ${name} is already allocated`
       held.add(name)
       count += 1
     }
   }
   if (count === accelerators) return undefined
-  return `${count} accelerators for a gang of ${accelerators}`
+  return `${count} accelerators assigned to a gang of ${accelerators}`
 }
 
 function collectHeldAccelerators(data: StateData): Set<string> {
--- a/control/state/src/pruneHistory.ts
+++ b/control/state/src/pruneHistory.ts
@@ -1,4 +1,4 @@
-/** Drops what a workspace has left behind beyond the bounds of retention, oldest first. */
+/** Drops the job keys, ended jobs and answers of a workspace that exceed the retention limits, oldest first. */
 import type { JobAnswer } from '@nettlespur/api.schemas'
 import { endedJobMaxAgeMs, endedJobsMax, keptAnswerBytesMax } from './retention.js'
 import type { WorkspaceHistory } from './stateData.js'
@@ -9,7 +9,7 @@
   pruneAnswers(history)
 }
 
-/** Bytes of an answer's parts. */
+/** Returns the total size of an answer's parts in bytes. */
 export function countAnswerBytes(parts: JobAnswer['parts']): number {
   return parts.reduce((sum, part) => sum + Buffer.byteLength(part.body), 0)
 }
--- a/control/state/src/refuseJob.ts
+++ b/control/state/src/refuseJob.ts
@@ -1,4 +1,4 @@
-/** Ends a queued job that can never run: cancelled where no attempt was started, failed otherwise. */
+/** Ends a queued job that can never run: as cancelled if no attempt was started, as failed otherwise. */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { changeJob } from './jobChange.js'
--- a/control/state/src/requeueJob.ts
+++ b/control/state/src/requeueJob.ts
@@ -1,6 +1,6 @@
 /**
- * Takes a stopped gang back into the queue. A job that is not repeatable goes back only if it never started,
- * or was preempted with a checkpoint of the whole gang.
+ * Returns a stopped gang to the queue. A job that is not repeatable is requeued only if no start of this
+ * attempt was sent, or if it was preempted with a checkpoint of the whole gang.
  */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
@@ -42,7 +42,7 @@
   return result
 }
 
-/** A first attempt that never started leaves no start time behind. */
+/** Clears the start time if the first attempt never started; otherwise keeps it. */
 function pickStartedAt(job: JobRecord, mayHaveRun: boolean): string | undefined {
   return mayHaveRun || job.attempts > 1 ? job.startedAt : undefined
 }
--- a/control/state/src/stateData.ts
+++ b/control/state/src/stateData.ts
@@ -1,10 +1,10 @@
-/** What the handlers of commands work on. Maps keep the order of insertion, which is the order of the log. */
+/** The mutable data that command handlers read and change. Maps keep insertion order, which is log order. */
 import type { ContractRecord, JobAnswer } from '@nettlespur/api.schemas'
 import { ClaimTable } from './claimTable.js'
 import type { JobRecord } from './jobRecord.js'
 import type { UpstreamHealth } from './upstreamHealth.js'
 
-/** An accepted change of an operator; with the resent body it gives the first answer again. */
+/** An accepted contract change. If the change is resent, its first result is rebuilt from this record. */
 export interface ChangeRecord {
   readonly digest: string
   readonly revision: number
@@ -13,7 +13,7 @@
 
 export interface ContractState {
   readonly record: ContractRecord
-  /** The change that made this revision. */
+  /** The change that created this revision. */
   readonly changeId: string
 }
 
@@ -22,12 +22,12 @@
   readonly digest: string
 }
 
-/** A key whose job has ended, kept until it is too old. */
+/** The key of an ended job, kept until it expires. */
 export interface EndedJobKeyRecord extends JobKeyRecord {
   readonly endedAt: string
 }
 
-/** What one workspace leaves behind. */
+/** The job keys of one workspace, and its ended jobs and answers that are still kept. */
 export interface WorkspaceHistory {
   readonly jobKeys: Map<string, JobKeyRecord>
   readonly endedJobKeys: Map<string, EndedJobKeyRecord>
@@ -37,18 +37,18 @@
 
 export interface StateData {
   appliedIndex: number
-  /** Newest proposer time seen, in milliseconds of wall time: never goes back. */
+  /** Latest proposer time seen, in milliseconds since the epoch; never decreases. */
   timeMs: number
-  /** Index of the newest accepted contract change. */
+  /** Log index of the newest accepted contract change; 0 if there is none. */
   contractIndex: number
   readonly contracts: Map<string, ContractState>
   readonly changes: Map<string, ChangeRecord>
   /** Jobs that have not ended, in order of submission. */
   readonly jobs: Map<string, JobRecord>
   readonly histories: Map<string, WorkspaceHistory>
-  /** Upstreams with something held against them. */
+  /** Upstreams with failure marks or in quarantine, by upstream id. */
   readonly upstreamHealth: Map<string, UpstreamHealth>
-  /** By workspace. */
+  /** Claims by workspace. */
   readonly claims: Map<string, ClaimTable>
 }
 
@@ -66,7 +66,7 @@
   }
 }
 
-/** The history of one workspace, made on first use. */
+/** Returns the history of a workspace, creating it on first use. */
 export function getOrCreateHistory(data: StateData, workspace: string): WorkspaceHistory {
   const known = data.histories.get(workspace)
   if (known !== undefined) return known
@@ -80,7 +80,7 @@
   return made
 }
 
-/** The claims of one workspace, made on first use. */
+/** Returns the claims of a workspace, creating the table on first use. */
 export function getOrCreateClaims(data: StateData, workspace: string): ClaimTable {
   const known = data.claims.get(workspace)
   if (known !== undefined) return known
--- a/control/state/src/stateHolder.ts
+++ b/control/state/src/stateHolder.ts
@@ -1,6 +1,6 @@
 /**
- * The present state of one instance and the index it stands at. The log writes it, by commands and by whole
- * snapshots; everything else reads it and waits on `applied`.
+ * Holds the current state of one instance. Only the replicated log writes it, by applying commands and
+ * restoring snapshots; all other code reads it and waits for changes through `applied`.
  */
 import { BehaviorSubject, Subject, type Observable } from 'rxjs'
 import type { Command } from './command.js'
@@ -18,12 +18,12 @@
     return this.#state
   }
 
-  /** Index of the newest applied command, from now on. */
+  /** Emits the current applied index on subscription, then the new index after each command or restore. */
   get applied(): Observable<number> {
     return this.#applied
   }
 
-  /** Each job that a command has changed; a restored snapshot tells of none. */
+  /** Emits the job in the result of each applied command. Restoring a snapshot emits nothing. */
   get jobChanges(): Observable<JobRecord> {
     return this.#jobChanges
   }
--- a/control/state/src/stateSnapshot.ts
+++ b/control/state/src/stateSnapshot.ts
@@ -1,4 +1,4 @@
-/** The whole state as a value, for snapshots. Lists keep the order of the maps they come from. */
+/** Converts the whole state to and from a serialisable snapshot. Lists keep the order of their maps. */
 import {
   claimSchema,
   contractRecordSchema,
--- a/control/state/src/submitJob.ts
+++ b/control/state/src/submitJob.ts
@@ -1,4 +1,4 @@
-/** Takes a job into the queue of its workspace, once for each job key. */
+/** Queues a job for its workspace. Idempotent by job key. */
 import type { ContractLimits, JobRequest } from '@nettlespur/api.schemas'
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult, type Refused } from './commandResult.js'
@@ -57,7 +57,7 @@
   if (known.digest !== digest) {
     return refuse(
       'idempotency-conflict',
-      `the job key belongs to ${known.jobId}, with another body`,
+      `the job key was already used for ${known.jobId} with a different body`,
       {
         hint: 'use a new job key for a new job',
       },
@@ -65,7 +65,10 @@
   }
   const job = data.jobs.get(known.jobId) ?? history.endedJobs.get(known.jobId)
   if (job !== undefined) return { type: 'job', job }
-  return refuse('answer-expired', `${known.jobId} of this job key has ended and is no longer kept`)
+  return refuse(
+    'answer-expired',
+    `${known.jobId}, submitted under this job key, has ended and is no longer kept`,
+  )
 }
 
 function findLimitViolation(
@@ -78,27 +81,35 @@
   if (accelerators > limits.largestGangAccelerators) {
     return refuse(
       'impossible-shape',
-      `a gang of ${accelerators} accelerators is larger than the contract's largest, ${limits.largestGangAccelerators}`,
+      `a gang of ${accelerators} accelerators exceeds the contract's largest gang, ${limits.largestGangAccelerators}`,
     )
   }
   if (accelerators > limits.concurrentAccelerators) {
     return refuse(
       'impossible-shape',
-      `a gang of ${accelerators} accelerators is more than the contract allows at once, ${limits.concurrentAccelerators}`,
+      `a gang of ${accelerators} accelerators exceeds the contract's concurrent accelerators, ${limits.concurrentAccelerators}`,
     )
   }
   const waiting = countQueuedJobs(data, request.workspace)
   if (waiting >= limits.queuedJobs) {
-    return refuse('queue-full', `${waiting} jobs of ${request.workspace} are queued already`, {
-      retryAfterMs: queueRetryAfterMs,
-    })
+    return refuse(
+      'queue-full',
+      `${waiting} jobs of workspace ${request.workspace} are already queued`,
+      {
+        retryAfterMs: queueRetryAfterMs,
+      },
+    )
   }
   const keys = history.jobKeys.size + history.endedJobKeys.size
   if (request.jobKey === undefined || keys < jobKeysMax) return undefined
-  return refuse('over-limit', `${keys} job keys of ${request.workspace} are kept already`, {
-    retryAfterMs: keysRetryAfterMs,
-    hint: 'a key is kept for a day after its job has ended',
-  })
+  return refuse(
+    'over-limit',
+    `${keys} job keys of workspace ${request.workspace} are already kept, the maximum`,
+    {
+      retryAfterMs: keysRetryAfterMs,
+      hint: 'a key is kept for a day after its job has ended',
+    },
+  )
 }
 
 function countQueuedJobs(data: StateData, workspace: string): number {
--- a/control/state/src/takeClaim.ts
+++ b/control/state/src/takeClaim.ts
@@ -1,4 +1,4 @@
-/** Takes an unresolved claim under a new fence; its entry's later changes no longer apply. */
+/** Takes an unresolved claim away from its entry by raising its fence; the entry's later changes have no effect. */
 import { isResolved } from './claimTable.js'
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
@@ -12,7 +12,10 @@
   const claim = data.claims.get(workspace)?.get(key)
   if (claim === undefined) return refuse('unknown-job', `no claim for key ${key}`)
   if (claim.fence !== fence || isResolved(claim)) return { type: 'claim', claim }
-  const outcome = claim.outcome ?? { kind: 'unknown' as const, reason: 'its entry was overtaken' }
+  const outcome = claim.outcome ?? {
+    kind: 'unknown' as const,
+    reason: 'the claim was taken from its entry',
+  }
   const taken = { ...claim, fence: index, changedAt: at, outcome }
   data.claims.get(workspace)?.put(taken)
   return { type: 'claim', claim: taken }
--- a/control/state/src/upstreamHealth.ts
+++ b/control/state/src/upstreamHealth.ts
@@ -1,46 +1,47 @@
 /**
- * Tells upstreams that fail everything from jobs that fail everywhere. The first fast failure of a job is
- * held against its upstream; when the job fails on another one too, the first mark is taken back, as the
- * fault is then the job's. Marks of several jobs without a success in between quarantine the upstream.
- * After a pause it is probed, and each success there doubles the gangs it may hold, until it is let back.
+ * Distinguishes faulty upstreams, on which every job fails, from faulty jobs, which fail on every upstream.
+ * A job's first fast failure marks the upstream it ran on. If the job then fails on another upstream too, the
+ * fault is the job's and the mark is removed. Marks by several jobs without a success in between quarantine
+ * the upstream. After a pause the upstream is probed; each success doubles the number of gangs it may hold,
+ * until the quarantine ends.
  */
 import { z } from 'zod'
 import type { TaskFailure } from './command.js'
 import type { JobRecord } from './jobRecord.js'
 import type { StateData } from './stateData.js'
 
-/** Jobs whose marks quarantine an upstream. */
+/** Number of distinct jobs whose marks quarantine an upstream. */
 export const quarantineMarkCount = 3
-/** An upstream that may hold more gangs than this again is let back. */
+/** The quarantine ends when a success would raise the admitted gangs above this number. */
 const admittedGangsMax = 4
 const initialPauseMs = 10_000
 const longestPauseMs = 600_000
 
 const quarantineSchema = z.object({
   since: z.iso.datetime(),
-  /** Not probed before this time. */
+  /** The upstream is not probed before this time. */
   probeAt: z.iso.datetime(),
   pauseMs: z.int().positive(),
-  /** Gangs it may hold at once from `probeAt` on. */
+  /** Number of gangs the upstream may hold at once from `probeAt` on. */
   admittedGangs: z.int().positive(),
-  /** True once a probe has failed, or has succeeded: taking marks back no longer ends it. */
+  /** True once a probe has failed or succeeded. From then on, removing marks no longer ends the quarantine. */
   probed: z.boolean(),
 })
 
 export const upstreamHealthSchema = z.object({
-  /** Jobs whose failure is held against the upstream. */
+  /** Jobs whose failures mark the upstream. */
   markedBy: z.array(z.string()),
   quarantine: quarantineSchema.optional(),
 })
 export type UpstreamHealth = z.infer<typeof upstreamHealthSchema>
 
-/** What is known of a failed attempt, as its command carries it. */
+/** The fields of a command that ends an attempt. */
 interface AttemptEnd {
   readonly at: string
   readonly failure?: TaskFailure | undefined
 }
 
-/** The upstreams on which tasks of the job have failed, with the newest one. */
+/** Returns the upstreams on which tasks of the job have failed, including that of `failure`. */
 export function listFailedUpstreams(job: JobRecord, failure: TaskFailure | undefined): string[] {
   const known = job.failedUpstreamIds
   if (failure === undefined || known.includes(failure.upstreamId)) return known
@@ -70,7 +71,7 @@
   data.upstreamHealth.set(failure.upstreamId, changed)
 }
 
-/** A finished job speaks for each upstream it ran on. */
+/** Clears the marks of each upstream that a finished job ran on, and relaxes or ends its quarantine. */
 export function recordSuccess(data: StateData, job: JobRecord): void {
   for (const { upstreamId } of job.placement?.members ?? []) {
     const quarantine = data.upstreamHealth.get(upstreamId)?.quarantine
@@ -99,7 +100,10 @@
   return { since: at, probeAt, pauseMs: initialPauseMs, admittedGangs: 1, probed: false }
 }
 
-/** A failure in quarantine doubles the pause, and the way back begins anew. */
+/**
+ * Doubles the pause after a failed probe and resets the admitted gangs to one. A failure before `probeAt`
+ * leaves the quarantine unchanged.
+ */
 function extendQuarantine({ markedBy, quarantine }: UpstreamHealth, at: string): UpstreamHealth {
   if (quarantine === undefined || at < quarantine.probeAt) return { markedBy, quarantine }
   const pauseMs = Math.min(quarantine.pauseMs * 2, longestPauseMs)
--- a/control/state/test/claims.test.ts
+++ b/control/state/test/claims.test.ts
@@ -72,7 +72,7 @@
 )
 type Step = (typeof steps extends fc.Arbitrary<infer T> ? T : never)[number]
 
-/** Mostly at the fence the claim has, sometimes at a former one. */
+/** Uses the claim's current fence, or an earlier one if the step is overtaken. */
 function toCommand(state: ControlState, step: Step, at: string): Command {
   const { key } = step
   const known = state.getClaim({ workspace, key })?.fence ?? 1
@@ -91,7 +91,7 @@
   return claim?.outcome?.kind === 'answered' || claim?.outcome?.kind === 'failed'
 }
 
-test('an outcome stands until its lifetime ends, fences rise, and a restored state goes on alike', (t) => {
+test('a final outcome is kept for its lifetime, fences never decrease, and a restored state behaves identically', (t) => {
   fc.assert(
     fc.property(steps, fc.nat(40), (played, restoredAt) => {
       const state = createState()
@@ -115,7 +115,7 @@
   )
 })
 
-test('a full workspace refuses rather than forget; claims go when their lifetime has ended, unless they run', (t) => {
+test('a full workspace refuses new claims instead of evicting old ones, and only claims with an outcome expire', (t) => {
   const state = createState()
   for (let index = 0; index < claimsMax; index++) {
     const opened = apply(state, createOpen(`k${index}`))
@@ -128,14 +128,14 @@
     type: 'refused',
     error: { kind: 'over-limit' },
   })
-  t.is(apply(state, createOpen('k7'), lifetimeMs).type, 'claim', 'what is known is still found')
+  t.is(apply(state, createOpen('k7'), lifetimeMs).type, 'claim', 'a known key is still found')
   t.is(apply(state, createOpen('more'), lifetimeMs + 1).type, 'claim')
   t.is(state.getClaim({ workspace, key: 'k7' }), undefined)
   t.is(state.getClaim({ workspace, key: 'k0' })?.outcome, undefined)
-  t.not(state.getClaim({ workspace, key: 'k0' }), undefined, 'one that runs is kept')
+  t.not(state.getClaim({ workspace, key: 'k0' }), undefined, 'a claim without an outcome is kept')
 })
 
-test('answers beyond the bytes kept for a workspace are left to their upstreams, oldest first', (t) => {
+test('the bodies of the oldest answers are dropped once a workspace exceeds its byte limit', (t) => {
   const state = createState()
   const bodyBytes = 16_384
   const bodyBase64 = Buffer.alloc(bodyBytes).toString('base64')
--- a/control/state/test/controlState.test.ts
+++ b/control/state/test/controlState.test.ts
@@ -24,7 +24,7 @@
   return readContract(apply(state, { type: 'contract.apply', at, change: contractChange }))
 }
 
-/** Aims a command about a job at a live one, and mostly at its present placement. */
+/** Redirects a job command to a live job, and in most cases to the fence of its current placement. */
 function targetLiveJob(state: ControlState, command: Command): Command {
   if (!('jobId' in command)) return command
   const jobs = state.listLiveJobs()
@@ -95,7 +95,7 @@
     .map((fields) => ({ type: 'job.ended' as const, at, reason: 'r', ...fields })),
 )
 
-test('revisions never go back, and each accepted change raises one by exactly one', (t) => {
+test('contract revisions never decrease, and each accepted change raises the revision by one', (t) => {
   const property = fc.property(fc.array(changes, { minLength: 20, maxLength: 60 }), (list) => {
     const state = ControlState.create()
     let revision = 0
@@ -112,7 +112,7 @@
   })
 })
 
-test('a resent change gets its first answer, also after later changes and a snapshot', (t) => {
+test('a resent change gets its first result, even after later changes and a snapshot', (t) => {
   const property = fc.property(fc.integer({ min: 0, max: 20 }), fc.boolean(), (later, restored) => {
     const before = ControlState.create()
     const first = applyChange(before, change('first', 0)).extract()
@@ -126,7 +126,7 @@
   fc.assert(property)
 })
 
-test('of two operators with equal revisions the second is refused, and told who won', (t) => {
+test('of two changes that expect the same revision, the second is refused with the id of the first', (t) => {
   const state = ControlState.create()
   t.true(applyChange(state, change('winner', 0)).isRight())
   const refused = applyChange(state, change('loser', 0, 2))
@@ -145,7 +145,7 @@
   t.is(state.getContract('demo')?.contract.weight, 1)
 })
 
-test('a state restored from a snapshot goes on as the one that was never interrupted', (t) => {
+test('a state restored from a snapshot ends up equal to one that was never interrupted', (t) => {
   const property = fc.property(
     fc.array(commands, { minLength: 30, maxLength: 80 }),
     fc.nat(80),
@@ -165,7 +165,7 @@
   fc.assert(property)
 })
 
-test('whatever is proposed, no accelerator is held twice and no unrepeatable job starts twice', (t) => {
+test('for any sequence of commands, no accelerator is allocated twice and no unrepeatable job starts twice', (t) => {
   const property = fc.property(fc.array(commands, { minLength: 60, maxLength: 120 }), (list) => {
     const state = ControlState.create()
     applyChange(state, change('initial', 0))
@@ -188,7 +188,7 @@
   fc.assert(property)
 })
 
-test('a job key finds the same job, refuses another body, and outlives the job', (t) => {
+test('a job key returns the same job, refuses a different body, and stays valid after the job has ended', (t) => {
   const state = ControlState.create()
   applyChange(state, change('initial', 0))
   const submit = (cpuCores: number) =>
@@ -206,7 +206,7 @@
   t.like(submit(1).unsafeCoerce(), { jobId: first.jobId, state: 'cancelled' })
 })
 
-test('the limits of the contract refuse a full queue and a gang that is too large', (t) => {
+test('a submission is refused if the queue is full or the gang exceeds the limits of the contract', (t) => {
   const state = ControlState.create()
   const contract = createContract('demo', { queuedJobs: 1, largestGangAccelerators: 4 })
   applyChange(state, { changeId: 'c', expectedRevision: 0, contract })
@@ -219,7 +219,7 @@
   t.like(submit(1).swap().extract(), { kind: 'queue-full' })
 })
 
-test('another workspace finds and cancels nothing', (t) => {
+test('a workspace can neither read nor cancel the job of another workspace', (t) => {
   const state = ControlState.create()
   applyChange(state, change('initial', 0))
   const job = readJob(apply(state, { type: 'job.submit', at, request: createJobRequest() }))
@@ -230,7 +230,7 @@
   t.is(state.getJob('demo', jobId)?.state, 'queued')
 })
 
-test('a job that is not repeatable goes back to the queue only where no start left', (t) => {
+test('a started job that is not repeatable is requeued only if no start was sent', (t) => {
   const property = fc.property(fc.boolean(), fc.boolean(), (repeatable, startSent) => {
     const state = ControlState.create()
     applyChange(state, change('initial', 0))
--- a/control/state/test/preemptJob.test.ts
+++ b/control/state/test/preemptJob.test.ts
@@ -21,7 +21,7 @@
 
 const fields = fc.record({ repeatable: fc.boolean(), checkpointable: fc.boolean() })
 
-test('a started job is preempted only where it is repeatable, or a checkpoint is to be taken of it', (t) => {
+test('a started job is preempted only if it is repeatable, or with a checkpoint if it is checkpointable', (t) => {
   const property = fc.property(fields, fc.boolean(), (request, withCheckpoint) => {
     const { apply, head, state } = startJob(request)
     apply({ type: 'job.preempt', ...head, withCheckpoint })
@@ -31,7 +31,7 @@
   fc.assert(property)
 })
 
-test('a job that is not repeatable is queued again only as a victim, and with its checkpoint', (t) => {
+test('a started job that is not repeatable is requeued only if it was preempted with a checkpoint', (t) => {
   const property = fc.property(fc.boolean(), fc.boolean(), (isVictim, hasCheckpoint) => {
     const { apply, head, state } = startJob({ repeatable: false, checkpointable: true })
     if (isVictim) apply({ type: 'job.preempt', ...head, withCheckpoint: true })
--- a/control/state/test/upstreamHealth.test.ts
+++ b/control/state/test/upstreamHealth.test.ts
@@ -48,7 +48,7 @@
   trial.apply({ type: 'job.finish', jobId, fence, parts: [{ taskId: 't', upstreamId, body: '' }] })
 }
 
-test('distinct jobs that fail fast quarantine their upstream; one job alone does not', (t) => {
+test('fast failures of several jobs quarantine their upstream; those of a single job do not', (t) => {
   const trial = createState()
   const one = submit(trial)
   for (let times = 0; times < 5; times++) failOn(trial, one, 'u1')
@@ -58,7 +58,7 @@
   t.truthy(trial.state.getUpstreamHealth('u1')?.quarantine)
 })
 
-test('jobs that fail on every upstream leave no upstream in quarantine', (t) => {
+test('jobs that each fail on several upstreams leave no upstream in quarantine', (t) => {
   const upstreams = ['u1', 'u2', 'u3', 'u4']
   const orders = fc.array(fc.shuffledSubarray(upstreams, { minLength: 2 }), {
     minLength: 4,
@@ -80,7 +80,7 @@
   })
 })
 
-test('a success in between clears what is held against an upstream', (t) => {
+test('a success clears the failure marks of an upstream', (t) => {
   const trial = createState()
   failOn(trial, submit(trial), 'u1')
   failOn(trial, submit(trial), 'u1')
@@ -89,7 +89,7 @@
   t.is(trial.state.getUpstreamHealth('u1')?.quarantine, undefined)
 })
 
-test('a failed probe doubles the pause, and successes let an upstream back one step at a time', (t) => {
+test('a failed probe doubles the pause, and each success doubles the admitted gangs until the quarantine ends', (t) => {
   const trial = createState()
   for (let jobs = 0; jobs < 3; jobs++) failOn(trial, submit(trial), 'u1')
   trial.passTime(pauseMs)
@@ -105,7 +105,7 @@
   t.deepEqual(admitted, [2, 4, undefined])
 })
 
-test('a quarantine is part of a snapshot', (t) => {
+test('a quarantine is restored from a snapshot', (t) => {
   const trial = createState()
   for (let jobs = 0; jobs < 3; jobs++) failOn(trial, submit(trial), 'u1')
   const restored = ControlState.restore(trial.state.snapshot())
