--- a/control/log/src/controlMachine.ts
+++ b/control/log/src/controlMachine.ts
@@ -32,6 +32,6 @@
   }
 }
 
-export function encodeJson(command: Command): Buffer {
+export function encodeCommand(command: Command): Buffer {
   return Buffer.from(JSON.stringify(command), 'utf8')
 }
--- a/control/log/src/raftLog.ts
+++ b/control/log/src/raftLog.ts
@@ -15,7 +15,7 @@
 import type { LogStore } from '@nettlespur/storage.log'
 import { EitherAsync, Left } from 'purify-ts'
 import { BehaviorSubject, filter, firstValueFrom } from 'rxjs'
-import { ControlMachine, encodeJson } from './controlMachine.js'
+import { ControlMachine, encodeCommand } from './controlMachine.js'
 import type { RaftReceiver } from './createRaftRouter.js'
 import {
   ReplicatedLog,
@@ -41,7 +41,7 @@
 }
 
 /** Kinds that a sole voter tells while its first entry is not on its disk yet. */
-const passing = new Set(['no-quorum', 'not-leader'])
+const transientErrorKinds = new Set(['no-quorum', 'not-leader'])
 
 export class RaftLog extends ReplicatedLog {
   readonly leadership: BehaviorSubject<Leadership>
@@ -68,13 +68,13 @@
     const node = await openNode(store, { ...rest, store, machine: new ControlMachine(holder) })
     const log = new RaftLog(node, store)
     const { members } = node.describe()
-    if (members.length === 1 && members[0]?.memberId === opts.memberId) await log.#awaitLeading()
+    if (members.length === 1 && members[0]?.memberId === opts.memberId) await log.#awaitLeadership()
     return log
   }
 
   propose(command: Command): EitherAsync<NettlespurError, CommandResult> {
     if (this.#stopped !== undefined) return refuse('draining', 'this control instance is stopping')
-    return this.#node.propose(encodeJson(command))
+    return this.#node.propose(encodeCommand(command))
   }
 
   readBarrier(): EitherAsync<NettlespurError, void> {
@@ -107,7 +107,7 @@
     return this.#node.removeMember(memberId)
   }
 
-  override async handOver(): Promise<void> {
+  override async transferLeadership(): Promise<void> {
     await this.#node.transferLeadership()
   }
 
@@ -122,13 +122,13 @@
   }
 
   /** However long the disk takes: a start that gave up here would leave the process running without a use. */
-  async #awaitLeading(): Promise<void> {
+  async #awaitLeadership(): Promise<void> {
     for (;;) {
       await firstValueFrom(this.leadership.pipe(filter(({ isLeader }) => isLeader)))
       const ready = await this.#node.readBarrier().run()
       const error = ready.swap().toMaybe().extract()
       if (error === undefined) return
-      if (!passing.has(error.kind)) throw error
+      if (!transientErrorKinds.has(error.kind)) throw error
     }
   }
 
--- a/control/log/src/replicatedLog.ts
+++ b/control/log/src/replicatedLog.ts
@@ -54,16 +54,16 @@
 
   /** Adds a member that counts once it has caught up. Errors: `membership-refused`, `not-leader`, `outcome-unknown`. */
   addMember({ memberId }: LogMember): EitherAsync<NettlespurError, void> {
-    return refuseChange(memberId)
+    return refuseMembershipChange(memberId)
   }
 
   /** Errors: as `addMember`, and `unknown-member`. */
   removeMember(memberId: string): EitherAsync<NettlespurError, void> {
-    return refuseChange(memberId)
+    return refuseMembershipChange(memberId)
   }
 
   /** Before a planned stop: gives the leadership, where it is held, to another member. Never rejects. */
-  handOver(): Promise<void> {
+  transferLeadership(): Promise<void> {
     return Promise.resolve()
   }
 
@@ -71,7 +71,7 @@
   abstract stop(): Promise<void>
 }
 
-function refuseChange(memberId: string): EitherAsync<NettlespurError, never> {
+function refuseMembershipChange(memberId: string): EitherAsync<NettlespurError, never> {
   const reason = `${memberId}: the members of this log are fixed`
   return EitherAsync.liftEither(Left(new NettlespurError('membership-refused', reason)))
 }
--- a/control/log/test/slowStart.test.ts
+++ b/control/log/test/slowStart.test.ts
@@ -10,14 +10,14 @@
 
 const electionTimeoutMs = 1500
 /** Longer than a read waits for the first commit. */
-const syncMs = 4 * electionTimeoutMs
+const diskWriteMs = 4 * electionTimeoutMs
 
 test('a sole voter whose disk is slow at the start leads once its first entry is written', async (t) => {
   const clock = new ManualClock()
   const store = await openStore(new MemoryFileSystem())
   const append = store.append.bind(store)
   store.append = async (entries) => {
-    await clock.sleep(syncMs)
+    await clock.sleep(diskWriteMs)
     await append(entries)
   }
   const opening = RaftLog.open({
@@ -34,7 +34,7 @@
     (log) => log.leadership.value.isLeader,
     (thrown: unknown) => thrown,
   )
-  await clock.advance(3 * syncMs)
+  await clock.advance(3 * diskWriteMs)
   t.is(await outcome, true)
   await (await opening).stop()
 })
--- a/daemons/control/src/startControl.ts
+++ b/daemons/control/src/startControl.ts
@@ -99,7 +99,7 @@
   const statusAddress = await openStatus(settings, { node, metrics, lifecycle })
   // Stopping the node is idempotent; first in line, it wakes the long polls that the drain waits for.
   lifecycle.own('leadership', async () => {
-    await log.handOver()
+    await log.transferLeadership()
     await stopNode()
   })
   const { address: peerAddress } = server
