--- a/control/log/src/controlMachine.ts
+++ b/control/log/src/controlMachine.ts
@@ -1,4 +1,4 @@
-/** Applies committed commands to the control state. Commands and snapshots are JSON, checked when read. */
+/** Applies committed commands to the control state. Commands and snapshots are JSON, validated when read. */
 import { readStoredJson, StateMachine } from '@nettlespur/consensus.raft'
 import {
   commandSchema,
--- a/control/log/src/createRaftRouter.ts
+++ b/control/log/src/createRaftRouter.ts
@@ -1,4 +1,4 @@
-/** The tRPC router through which the other members reach this one. */
+/** The tRPC router on which this member receives Raft messages from the other members. */
 import {
   timeoutNowRequestSchema,
   voteRequestSchema,
@@ -14,7 +14,7 @@
 import { initTRPC } from '@trpc/server'
 import { wireAppendSchema, wireInstallSchema } from './raftWire.js'
 
-/** What a member does with the messages of the others. */
+/** Handles the Raft messages of the other members. */
 export interface RaftReceiver {
   handleVote(request: VoteRequest): Promise<VoteAnswer>
   handleAppend(request: AppendRequest): Promise<AppendAnswer>
--- a/control/log/src/index.ts
+++ b/control/log/src/index.ts
@@ -1,4 +1,4 @@
-/** The replicated log: what control commits to, over Raft. */
+/** The replicated log of control, built on Raft. */
 export { createRaftRouter, type RaftReceiver, type RaftRouter } from './createRaftRouter.js'
 export { RaftLog, type RaftLogOptions } from './raftLog.js'
 export {
--- a/control/log/src/raftLog.ts
+++ b/control/log/src/raftLog.ts
@@ -1,4 +1,4 @@
-/** The replicated log over Raft: commands are agreed on by the voters and applied to the control state. */
+/** The replicated log over Raft: commands that a quorum of voters has committed are applied to the control state. */
 import {
   RaftNode,
   type Member,
@@ -26,26 +26,26 @@
 
 export interface RaftLogOptions {
   memberId: string
-  /** The first voters. An instance that is none of them waits to be added. */
+  /** The initial voters. An instance that is not one of them waits to be added as a member. */
   initialMembers: readonly Member[]
   clock: Clock
   logger: Logger
-  /** Closed with the log. */
+  /** Owned by the log, which closes it on stop or when opening fails. */
   store: LogStore
   transport: RaftTransport
-  /** What committed commands are applied to; starts out empty. */
+  /** The state to which committed commands are applied; must be empty at first. */
   holder: StateHolder
   timings: RaftTimings
   limits?: Partial<RaftLimits>
   random?: () => number
 }
 
-/** Kinds that a sole voter tells while its first entry is not on its disk yet. */
+/** Error kinds that reads of a sole voter return until its first entry is written to disk. */
 const transientErrorKinds = new Set(['no-quorum', 'not-leader'])
 
 export class RaftLog extends ReplicatedLog {
   readonly leadership: BehaviorSubject<Leadership>
-  /** For the router through which other members reach this one. */
+  /** Handles the messages of the other members; pass it to `createRaftRouter`. */
   readonly receiver: RaftReceiver
   readonly #node: RaftNode<CommandResult>
   readonly #store: LogStore
@@ -62,7 +62,10 @@
     })
   }
 
-  /** A sole voter leads, and holds all it committed before, by the time this resolves. Errors: rejects with `storage-damaged`. */
+  /**
+   * Opens the log from its store. If this instance is the sole voter, resolves only once it leads and has
+   * applied everything it committed before. Errors: rejects with `storage-damaged`.
+   */
   static async open(opts: RaftLogOptions): Promise<RaftLog> {
     const { holder, store, ...rest } = opts
     const node = await openNode(store, { ...rest, store, machine: new ControlMachine(holder) })
@@ -121,7 +124,10 @@
     await this.#store.close()
   }
 
-  /** However long the disk takes: a start that gave up here would leave the process running without a use. */
+  /**
+   * Waits until this sole voter leads and can serve reads. There is no time limit, however slow the disk is:
+   * a start that failed here would leave the process running without serving.
+   */
   async #awaitLeadership(): Promise<void> {
     for (;;) {
       await firstValueFrom(this.leadership.pipe(filter(({ isLeader }) => isLeader)))
--- a/control/log/src/raftWire.ts
+++ b/control/log/src/raftWire.ts
@@ -1,4 +1,4 @@
-/** The messages of agreement as they cross between processes: bytes as base64 within JSON. */
+/** The wire format of Raft messages: JSON, with bytes encoded as base64. */
 import {
   appendRequestSchema,
   installRequestSchema,
--- a/control/log/src/replicatedLog.ts
+++ b/control/log/src/replicatedLog.ts
@@ -1,6 +1,6 @@
 /**
- * The log that every change of the cluster's state goes through. A command counts once a quorum has it on
- * disk; the log then applies it to the state, and only the leader takes new ones.
+ * The log through which every change of the cluster's state passes. Only the leader accepts commands. A
+ * command is committed once a quorum has it on disk, and is then applied to the state.
  */
 import type { MemberView } from '@nettlespur/control.api'
 import type { Command, CommandResult } from '@nettlespur/control.state'
@@ -8,7 +8,7 @@
 import { EitherAsync, Left } from 'purify-ts'
 import type { Observable } from 'rxjs'
 
-/** Who leads, as this instance sees it. */
+/** The current leader and term, as known to this instance. */
 export interface Leadership {
   readonly isLeader: boolean
   readonly leaderId?: string | undefined
@@ -17,61 +17,64 @@
   readonly term: number
 }
 
-/** A control instance that is to take part. */
+/** A control instance to be added as a member. */
 export interface LogMember {
   readonly memberId: string
   readonly peerAddress: string
   readonly dataCentre: string
 }
 
-/** How the log stands, for operators. */
+/** The status of the log, for operators. */
 export interface LogDescription {
   readonly term: number
   readonly commitIndex: number
-  /** Absent where there is no snapshot. */
+  /** Age of the newest snapshot; absent if there is none. */
   readonly snapshotAgeMs?: number | undefined
   readonly members: readonly MemberView[]
 }
 
 export abstract class ReplicatedLog {
-  /** The present value at once, then each change. */
+  /** Emits the current value on subscription, then each change. */
   abstract readonly leadership: Observable<Leadership>
 
   /**
-   * Resolves once the command is committed and applied here; a command that the state refused resolves
-   * too, with its refusal. Errors: `not-leader`, `no-quorum` and `disk-full` where it is certain that the
-   * command never takes effect, `outcome-unknown` and `storage-failed` where it may.
+   * Resolves once the command is committed and applied on this instance. If the state refuses the command,
+   * resolves with the refusal. Errors: `not-leader`, `no-quorum` and `disk-full` if it is certain that the
+   * command never takes effect; `outcome-unknown` and `storage-failed` if it may still take effect.
    */
   abstract propose(command: Command): EitherAsync<NettlespurError, CommandResult>
 
   /**
-   * Resolves once the local state holds everything that was committed before the call. Errors:
+   * Resolves once the local state reflects every command that was committed before the call. Errors:
    * `not-leader`, `no-quorum`.
    */
   abstract readBarrier(): EitherAsync<NettlespurError, void>
 
   abstract describe(): LogDescription
 
-  /** Adds a member that counts once it has caught up. Errors: `membership-refused`, `not-leader`, `outcome-unknown`. */
+  /**
+   * Adds a member, which does not count towards the quorum until it has caught up. Errors:
+   * `membership-refused`, `not-leader`, `outcome-unknown`.
+   */
   addMember({ memberId }: LogMember): EitherAsync<NettlespurError, void> {
     return refuseMembershipChange(memberId)
   }
 
-  /** Errors: as `addMember`, and `unknown-member`. */
+  /** Removes a member. Errors: those of `addMember`, and `unknown-member`. */
   removeMember(memberId: string): EitherAsync<NettlespurError, void> {
     return refuseMembershipChange(memberId)
   }
 
-  /** Before a planned stop: gives the leadership, where it is held, to another member. Never rejects. */
+  /** Transfers leadership to another member before a planned stop, if this instance leads. Never rejects. */
   transferLeadership(): Promise<void> {
     return Promise.resolve()
   }
 
-  /** Gives an answer to each waiting call, then closes. */
+  /** Settles every pending call, then closes the log. */
   abstract stop(): Promise<void>
 }
 
 function refuseMembershipChange(memberId: string): EitherAsync<NettlespurError, never> {
-  const reason = `${memberId}: the members of this log are fixed`
+  const reason = `${memberId}: this log does not support membership changes`
   return EitherAsync.liftEither(Left(new NettlespurError('membership-refused', reason)))
 }
--- a/control/log/src/rpcTransport.ts
+++ b/control/log/src/rpcTransport.ts
@@ -1,6 +1,6 @@
 /**
- * Carries the messages of agreement over tRPC. A call without an answer by its deadline is given up and its
- * connection closed, so that one which has gone silent is replaced; heartbeats check each connection.
+ * Carries Raft messages over tRPC. A call that misses its deadline fails and its connection is closed, so
+ * that a connection that has gone silent is replaced. Heartbeats check each connection.
  */
 import {
   RaftTransport,
@@ -22,10 +22,10 @@
 export interface RpcTransportOptions {
   clock: Clock
   peerKey: string
-  /** Deadline of each call; well below the election timeout. */
+  /** Deadline of each call in milliseconds; must be well below the election timeout. */
   timeoutMs: number
   ca?: Buffer | undefined
-  /** As for any client of a peer. */
+  /** As in `RpcClientOptions`. */
   compresses?: boolean | undefined
 }
 
--- a/control/log/test/raftLog.test.ts
+++ b/control/log/test/raftLog.test.ts
@@ -40,7 +40,7 @@
   return { type: 'contract.apply', at, change: { changeId, expectedRevision, contract } }
 }
 
-test('what was proposed is there after a restart, in the order of the proposals', async (t) => {
+test('committed commands are restored after a restart, in the order in which they were proposed', async (t) => {
   const folder = await createFolder()
   const { log, holder } = await openLog(folder)
   await Promise.all([0, 1, 2, 3].map((revision) => unwrap(log.propose(change(revision)))))
@@ -52,7 +52,7 @@
   await reopened.log.stop()
 })
 
-test('a restart from a snapshot and the log behind it gives the same state, and the first answer to a resent change', async (t) => {
+test('a restart from a snapshot and later log entries restores the same state, and a resent change gets its first result', async (t) => {
   const folder = await createFolder()
   const limits = { snapshotEveryEntries: 7, keepEntries: 2 }
   const { log, holder } = await openLog(folder, limits)
@@ -67,7 +67,7 @@
   await reopened.log.stop()
 })
 
-test('a sole voter cannot be removed, and a member under a taken address is refused', async (t) => {
+test('removing the sole voter or an unknown member is refused, and so is adding a member whose address is taken', async (t) => {
   const { log } = await openLog(await createFolder())
   t.like((await log.removeMember('c1').run()).extract(), { kind: 'membership-refused' })
   t.like((await log.removeMember('c9').run()).extract(), { kind: 'unknown-member' })
--- a/control/log/test/slowStart.test.ts
+++ b/control/log/test/slowStart.test.ts
@@ -1,6 +1,7 @@
 /**
- * What operators saw: a control instance that was started on a busy machine neither served nor ended. Its first
- * commit took longer than a read waits for one, the start failed of it, and what had been started went on alone.
+ * Guards against a control instance that neither serves nor exits after a start on a busy machine. If the first
+ * commit takes longer than a read waits for it, the start must wait on instead of failing, because the parts
+ * that are already running would keep the process alive.
  */
 import { StateHolder } from '@nettlespur/control.state'
 import { ManualClock } from '@nettlespur/core.clock'
@@ -9,10 +10,10 @@
 import { RaftLog, RpcTransport } from '../src/index.js'
 
 const electionTimeoutMs = 1500
-/** Longer than a read waits for the first commit. */
+/** How long the disk takes to write; longer than a read waits for the first commit. */
 const diskWriteMs = 4 * electionTimeoutMs
 
-test('a sole voter whose disk is slow at the start leads once its first entry is written', async (t) => {
+test('a sole voter with a slow disk becomes leader once its first entry is written', async (t) => {
   const clock = new ManualClock()
   const store = await openStore(new MemoryFileSystem())
   const append = store.append.bind(store)
