--- a/control/api/src/createControlRouter.ts
+++ b/control/api/src/createControlRouter.ts
@@ -17,7 +17,7 @@
 const answerRequestSchema = jobReferenceSchema.extend({ waitMs: z.int().nonnegative() })
 const claimChangesMax = 256
 const claimChangesSchema = z.array(claimChangeSchema).max(claimChangesMax)
-const listSchema = z.object({ workspace: identifierSchema.optional() })
+const listContractsSchema = z.object({ workspace: identifierSchema.optional() })
 
 export function createControlRouter(api: ControlApi) {
   const { router, procedure } = initTRPC.create()
@@ -26,7 +26,7 @@
       .input(contractChangeSchema)
       .mutation(({ input }) => toRpcResult(api.applyContract(input))),
     listContracts: procedure
-      .input(listSchema)
+      .input(listContractsSchema)
       .mutation(({ input }) => toRpcResult(api.listContracts(input.workspace))),
     submitJob: procedure
       .input(jobRequestSchema)
--- a/control/api/src/remoteControlApi.ts
+++ b/control/api/src/remoteControlApi.ts
@@ -35,11 +35,11 @@
 type Caller = RpcClient<ControlRouter>['call']
 
 /** Kinds after which another instance may answer, since this one has done nothing. */
-const tryElsewhere = new Set(['not-leader', 'unreachable'])
+const failoverErrorKinds = new Set(['not-leader', 'unreachable'])
 
 export class RemoteControlApi extends ControlApi {
   readonly #clients: readonly RpcClient<ControlRouter>[]
-  #preferred = 0
+  #preferredIndex = 0
 
   constructor(opts: RemoteControlApiOptions) {
     super()
@@ -52,77 +52,77 @@
   }
 
   applyContract(change: ContractChange): EitherAsync<NettlespurError, ContractRecord> {
-    return this.#ask((call) => call.applyContract.mutate(change))
+    return this.#call((call) => call.applyContract.mutate(change))
   }
 
   listContracts(workspace?: string): EitherAsync<NettlespurError, ContractView[]> {
-    return this.#ask((call) => call.listContracts.mutate({ workspace }))
+    return this.#call((call) => call.listContracts.mutate({ workspace }))
   }
 
   submitJob(request: JobRequest): EitherAsync<NettlespurError, JobView> {
-    return this.#ask((call) => call.submitJob.mutate(request))
+    return this.#call((call) => call.submitJob.mutate(request))
   }
 
   getJob(reference: JobReference): EitherAsync<NettlespurError, JobView> {
-    return this.#ask((call) => call.getJob.mutate(reference))
+    return this.#call((call) => call.getJob.mutate(reference))
   }
 
   awaitAnswer(request: AnswerRequest): EitherAsync<NettlespurError, JobOutcome> {
-    return this.#ask((call) => call.awaitAnswer.mutate(request))
+    return this.#call((call) => call.awaitAnswer.mutate(request))
   }
 
   explainJob(reference: JobReference): EitherAsync<NettlespurError, JobExplanation> {
-    return this.#ask((call) => call.explainJob.mutate(reference))
+    return this.#call((call) => call.explainJob.mutate(reference))
   }
 
   cancelJob(reference: JobReference): EitherAsync<NettlespurError, JobView> {
-    return this.#ask((call) => call.cancelJob.mutate(reference))
+    return this.#call((call) => call.cancelJob.mutate(reference))
   }
 
   changeClaims(changes: readonly ClaimChange[]): EitherAsync<NettlespurError, RpcResult<Claim>[]> {
-    return this.#ask((call) => call.changeClaims.mutate([...changes]))
+    return this.#call((call) => call.changeClaims.mutate([...changes]))
   }
 
   awaitClaim(query: ClaimQuery): EitherAsync<NettlespurError, Claim | null> {
-    return this.#ask((call) => call.awaitClaim.mutate(query))
+    return this.#call((call) => call.awaitClaim.mutate(query))
   }
 
   announce(announcements: Announcements): EitherAsync<NettlespurError, null> {
-    return this.#ask((call) => call.announce.mutate(announcements))
+    return this.#call((call) => call.announce.mutate(announcements))
   }
 
   watch(request: WatchRequest): EitherAsync<NettlespurError, ClusterUpdate> {
-    return this.#ask((call) => call.watch.mutate(request))
+    return this.#call((call) => call.watch.mutate(request))
   }
 
   getStatus(): EitherAsync<NettlespurError, ClusterStatus> {
-    return this.#ask((call) => call.getStatus.mutate())
+    return this.#call((call) => call.getStatus.mutate())
   }
 
   getReport(): EitherAsync<NettlespurError, ClusterReport> {
-    return this.#ask((call) => call.getReport.mutate())
+    return this.#call((call) => call.getReport.mutate())
   }
 
   listMembers(): EitherAsync<NettlespurError, MemberView[]> {
-    return this.#ask((call) => call.listMembers.mutate())
+    return this.#call((call) => call.listMembers.mutate())
   }
 
   addMember(member: NewMember): EitherAsync<NettlespurError, null> {
-    return this.#ask((call) => call.addMember.mutate(member))
+    return this.#call((call) => call.addMember.mutate(member))
   }
 
   removeMember(memberId: string): EitherAsync<NettlespurError, null> {
-    return this.#ask((call) => call.removeMember.mutate(memberId))
+    return this.#call((call) => call.removeMember.mutate(memberId))
   }
 
-  #ask<T>(run: (call: Caller) => Promise<RpcResult<T>>): EitherAsync<NettlespurError, T> {
-    return EitherAsync.fromPromise(() => this.#askEach(run))
+  #call<T>(run: (call: Caller) => Promise<RpcResult<T>>): EitherAsync<NettlespurError, T> {
+    return EitherAsync.fromPromise(() => this.#callWithFailover(run))
   }
 
-  async #askEach<T>(
+  async #callWithFailover<T>(
     run: (call: Caller) => Promise<RpcResult<T>>,
   ): Promise<Either<NettlespurError, T>> {
-    const first = this.#preferred
+    const first = this.#preferredIndex
     let last: Either<NettlespurError, T> = Left(
       new NettlespurError('unreachable', 'no control instance is configured'),
     )
@@ -132,9 +132,9 @@
       if (client === undefined) continue
       last = await callPeer(() => run(client.call)).run()
       const error = last.swap().toMaybe().extractNullable()
-      if (error === null || !tryElsewhere.has(error.kind)) {
+      if (error === null || !failoverErrorKinds.has(error.kind)) {
         // An instance that left a call open may be cut off: the next call begins elsewhere.
-        this.#preferred = error?.kind === 'outcome-unknown' ? index + 1 : index
+        this.#preferredIndex = error?.kind === 'outcome-unknown' ? index + 1 : index
         return last
       }
     }
