--- a/control/api/src/clusterView.ts
+++ b/control/api/src/clusterView.ts
@@ -1,4 +1,4 @@
-/** What entries learn by watching control: the contracts, the upstreams, and each other. */
+/** The cluster view that entries get by watching control: contracts, upstreams and the other entries. */
 import {
   addressSchema,
   announcementSchema,
@@ -10,31 +10,34 @@
 } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 
-/** How one entry introduces itself. */
+/** The identity and addresses of an entry. */
 export const entryIdentitySchema = z.object({
   entryId: identifierSchema,
-  /** Where callers reach it. */
+  /** Address on which the entry serves callers. */
   address: addressSchema,
-  /** Where other entries reach it. */
+  /** Address on which the entry serves other entries. */
   peerAddress: addressSchema,
   dataCentre: identifierSchema,
 })
 export type EntryIdentity = z.infer<typeof entryIdentitySchema>
 
-/** A long poll. The positions say what the entry already holds, and so what is in force there. */
+/**
+ * A long poll for changes. `contractIndex` and `upstreamVersion` are the positions up to which the entry has
+ * received contracts and upstreams; the contracts up to its position are in force at the entry.
+ */
 export const watchRequestSchema = z.object({
   entry: entryIdentitySchema,
-  /** Which leadership the positions belong to; empty at first. */
+  /** Identifies the leadership to which the positions belong; empty in the first request. */
   epoch: z.string(),
   contractIndex: countSchema,
   upstreamVersion: countSchema,
   waitMs: durationMsSchema,
-  /** True when the entry is about to stop: it is told to no one any more. */
+  /** True if the entry is about to stop; it is then no longer listed to other entries. */
   leaving: z.boolean(),
 })
 export type WatchRequest = z.infer<typeof watchRequestSchema>
 
-/** What changed since the positions of the request; everything, where `epoch` differs from it. */
+/** The changes since the positions of the request, or the full view if the request has another `epoch`. */
 export const clusterUpdateSchema = z.object({
   epoch: z.string(),
   contractIndex: countSchema,
@@ -42,12 +45,12 @@
   upstreamVersion: countSchema,
   upstreams: z.array(upstreamViewSchema),
   entries: z.array(entryIdentitySchema),
-  /** From the moment the request was sent, how long the contracts may be enforced without a further update. */
+  /** How long the contracts may be enforced without a further update, counted from when the request was sent. */
   contractLeaseMs: durationMsSchema,
 })
 export type ClusterUpdate = z.infer<typeof clusterUpdateSchema>
 
-/** Announcements an entry received and passes on. */
+/** Announcements of upstreams that an entry received and forwards to control. */
 export const announcementsSchema = z.object({
   items: z.array(z.object({ upstreamId: identifierSchema, announcement: announcementSchema })),
 })
--- a/control/api/src/contractView.ts
+++ b/control/api/src/contractView.ts
@@ -1,4 +1,4 @@
-/** A contract as operators see it: the record, and the entries where it is in force. */
+/** A contract as shown to operators: the record, and the entries where it is and is not yet in force. */
 import { contractRecordSchema, identifierSchema } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 
--- a/control/api/src/controlApi.ts
+++ b/control/api/src/controlApi.ts
@@ -1,6 +1,6 @@
 /**
- * What control offers to entries. The control node implements it; entries call it through a client that
- * finds the leader; tests give fakes.
+ * The API of control for entries. The control node implements it; entries call it through a client that
+ * finds the leader; tests use fakes.
  */
 import type {
   Claim,
@@ -19,18 +19,18 @@
 import type { ContractView } from './contractView.js'
 import type { ClusterReport, ClusterStatus, MemberView, NewMember } from './statusView.js'
 
-/** Names one job of one workspace: a caller of another workspace finds nothing. */
+/** Identifies a job within its workspace. A job is not found under any other workspace. */
 export interface JobReference {
   readonly workspace: string
   readonly jobId: string
 }
 
-/** Asks for a job's answer, waiting up to `waitMs` for the job to end. */
+/** Requests a job's answer, waiting up to `waitMs` for the job to end. */
 export interface AnswerRequest extends JobReference {
   readonly waitMs: number
 }
 
-/** The job as it stands, with its answer once it has finished. */
+/** The current view of a job, with its answer once it has finished. */
 export interface JobOutcome {
   readonly job: JobView
   readonly answer?: JobAnswer | undefined
@@ -39,7 +39,7 @@
 export abstract class ControlApi {
   /** Errors: `stale-revision`, `change-id-conflict`, `infeasible-contract`, `no-quorum`, `not-leader`. */
   abstract applyContract(change: ContractChange): EitherAsync<NettlespurError, ContractRecord>
-  /** All contracts, or the one named. Errors: `unknown-workspace`. */
+  /** Lists all contracts, or only that of `workspace`. Errors: `unknown-workspace`. */
   abstract listContracts(workspace?: string): EitherAsync<NettlespurError, ContractView[]>
   /** Idempotent by the request's job key. Errors: `impossible-shape`, `queue-full`, `idempotency-conflict`. */
   abstract submitJob(request: JobRequest): EitherAsync<NettlespurError, JobView>
@@ -49,25 +49,29 @@
   abstract awaitAnswer(request: AnswerRequest): EitherAsync<NettlespurError, JobOutcome>
   /** Errors: `unknown-job`. */
   abstract explainJob(reference: JobReference): EitherAsync<NettlespurError, JobExplanation>
-  /** Asks for the job's end; the view may still say `stopping`. Errors: `unknown-job`. */
+  /** Requests cancellation of a job. The returned view may still be `stopping`. Errors: `unknown-job`. */
   abstract cancelJob(reference: JobReference): EitherAsync<NettlespurError, JobView>
   /**
-   * Commits changes of claims, each with its own result in the order given: the claim as it then stands.
-   * Errors of one: `idempotency-conflict`, `over-limit`, `unknown-workspace`, `unknown-job`, `no-quorum`.
+   * Commits claim changes and returns one result for each, in the order given: the claim after the change, or
+   * an error. Errors of a single change: `idempotency-conflict`, `over-limit`, `unknown-workspace`,
+   * `unknown-job`, `no-quorum`.
    */
   abstract changeClaims(
     changes: readonly ClaimChange[],
   ): EitherAsync<NettlespurError, RpcResult<Claim>[]>
-  /** The claim of a key, or null where there is none; waits for its outcome up to `waitMs`. */
+  /** Waits up to `waitMs` for the outcome of a claim and returns the claim; null if the key has none. */
   abstract awaitClaim(query: ClaimQuery): EitherAsync<NettlespurError, Claim | null>
   abstract announce(announcements: Announcements): EitherAsync<NettlespurError, null>
-  /** Answers when something changed since the request's positions, or after its `waitMs`. */
+  /** Resolves when something has changed since the request's positions, or after its `waitMs`. */
   abstract watch(request: WatchRequest): EitherAsync<NettlespurError, ClusterUpdate>
   abstract getStatus(): EitherAsync<NettlespurError, ClusterStatus>
   abstract getReport(): EitherAsync<NettlespurError, ClusterReport>
   abstract listMembers(): EitherAsync<NettlespurError, MemberView[]>
-  /** Idempotent. It is a learner first, and a voter once it has caught up and one is wanted. Errors: `membership-refused`, `outcome-unknown`. */
+  /**
+   * Adds a control instance as a learner; it becomes a voter once it has caught up and a voter is needed.
+   * Idempotent. Errors: `membership-refused`, `outcome-unknown`.
+   */
   abstract addMember(member: NewMember): EitherAsync<NettlespurError, null>
-  /** Errors: `unknown-member`, `membership-refused`, `outcome-unknown`. */
+  /** Removes a control instance. Errors: `unknown-member`, `membership-refused`, `outcome-unknown`. */
   abstract removeMember(memberId: string): EitherAsync<NettlespurError, null>
 }
--- a/control/api/src/createControlRouter.ts
+++ b/control/api/src/createControlRouter.ts
@@ -1,4 +1,4 @@
-/** The tRPC router over a ControlApi: one procedure for each method, each checked by its schema. */
+/** The tRPC router of a ControlApi: one procedure for each method, with its input validated by a schema. */
 import {
   claimChangeSchema,
   claimQuerySchema,
--- a/control/api/src/index.ts
+++ b/control/api/src/index.ts
@@ -1,4 +1,4 @@
-/** What control offers to entries: schemas, the abstract API, its tRPC router and its client. */
+/** The API of control for entries: schemas, the abstract API, its tRPC router and its client. */
 export * from './clusterView.js'
 export { contractViewSchema, type ContractView } from './contractView.js'
 export { ControlApi, type AnswerRequest, type JobOutcome, type JobReference } from './controlApi.js'
--- a/control/api/src/remoteControlApi.ts
+++ b/control/api/src/remoteControlApi.ts
@@ -1,6 +1,6 @@
 /**
- * A ControlApi that calls the control instances over tRPC. It keeps to the instance that last answered as
- * leader and tries the others in turn when that one cannot be reached or no longer leads.
+ * A ControlApi client that calls the control instances over tRPC. Calls go first to the instance that last
+ * answered as leader, then to the others in turn if that one is unreachable or no longer leads.
  */
 import type {
   Claim,
@@ -27,14 +27,14 @@
   /** Peer addresses of all control instances. */
   addresses: readonly string[]
   peerKey: string
-  /** Deadline of each call, in milliseconds; long polls get their own wait on top. */
+  /** Deadline of each call, in milliseconds; for long polls their own wait is added to it. */
   timeoutMs: number
   ca?: Buffer | undefined
 }
 
 type Caller = RpcClient<ControlRouter>['call']
 
-/** Kinds after which another instance may answer, since this one has done nothing. */
+/** Error kinds after which a call is safe to try on another instance, since this one did nothing. */
 const failoverErrorKinds = new Set(['not-leader', 'unreachable'])
 
 export class RemoteControlApi extends ControlApi {
@@ -133,7 +133,7 @@
       last = await callPeer(() => run(client.call)).run()
       const error = last.swap().toMaybe().extractNullable()
       if (error === null || !failoverErrorKinds.has(error.kind)) {
-        // An instance that left a call open may be cut off: the next call begins elsewhere.
+        // An instance that left the outcome unknown may be partitioned, so the next call starts at another one.
         this.#preferredIndex = error?.kind === 'outcome-unknown' ? index + 1 : index
         return last
       }
--- a/control/api/src/statusView.ts
+++ b/control/api/src/statusView.ts
@@ -1,4 +1,4 @@
-/** The state of the cluster as operators see it. */
+/** The status and reports of the cluster for operators. */
 import {
   addressSchema,
   countSchema,
@@ -7,10 +7,10 @@
 } from '@nettlespur/api.schemas'
 import { z } from 'zod'
 
-/** A control instance that is to take part in agreement. */
+/** A control instance to be added to the consensus group. */
 export const newMemberSchema = z.strictObject({
   memberId: identifierSchema,
-  /** Where the other control instances and the entries reach it. */
+  /** Address on which it serves the other control instances and the entries. */
   peerAddress: addressSchema,
   dataCentre: identifierSchema,
 })
@@ -21,7 +21,7 @@
   peerAddress: z.string(),
   dataCentre: identifierSchema,
   role: z.enum(['leader', 'voter', 'learner']),
-  /** Log entries this member is behind the leader. */
+  /** Number of log entries by which this member lags behind the leader. */
   lagEntries: countSchema,
   /** Milliseconds since the leader last heard from it. */
   silentMs: countSchema,
@@ -32,7 +32,7 @@
   leaderId: identifierSchema.optional(),
   term: countSchema,
   commitIndex: countSchema,
-  /** Age of the newest snapshot in milliseconds; absent where there is none. */
+  /** Age of the newest snapshot in milliseconds; absent if there is none. */
   snapshotAgeMs: countSchema.optional(),
   members: z.array(memberViewSchema),
   entries: z.array(z.object({ entryId: identifierSchema, contractIndex: countSchema })),
@@ -48,7 +48,7 @@
   p99Ms: z.number(),
 })
 
-/** Completion times from submission to end, and how much free capacity is of no use to each shape. */
+/** Completion times of jobs from submission to end, and the share of free capacity that each shape cannot use. */
 export const clusterReportSchema = z.object({
   cluster: z.object({
     completion: quantilesSchema,
