--- a/control/state/src/claimTable.ts
+++ b/control/state/src/claimTable.ts
@@ -14,7 +14,7 @@
   readonly #byKey = new Map<string, Claim>()
   readonly #unresolved = new Set<string>()
   /** Size in bytes of each kept answer by claim key, oldest first. */
-  readonly #answers = new Map<string, number>()
+  readonly #answerSizes = new Map<string, number>()
   #answerBytes = 0
 
   get size(): number {
@@ -42,9 +42,9 @@
     this.#byKey.set(claim.key, claim)
     if (!isResolved(claim)) this.#unresolved.add(claim.key)
     if (claim.outcome?.kind !== 'answered' || claim.outcome.bodyBase64 === undefined) return
-    this.#answers.set(claim.key, claim.outcome.bodyBytes)
+    this.#answerSizes.set(claim.key, claim.outcome.bodyBytes)
     this.#answerBytes += claim.outcome.bodyBytes
-    for (const oldest of this.#answers.keys()) {
+    for (const oldest of this.#answerSizes.keys()) {
       if (this.#answerBytes <= claimAnswersBytesMax) return
       this.#dropBody(oldest)
     }
@@ -62,13 +62,13 @@
   #drop(key: string): void {
     this.#byKey.delete(key)
     this.#unresolved.delete(key)
-    this.#answerBytes -= this.#answers.get(key) ?? 0
-    this.#answers.delete(key)
+    this.#answerBytes -= this.#answerSizes.get(key) ?? 0
+    this.#answerSizes.delete(key)
   }
 
   #dropBody(key: string): void {
-    this.#answerBytes -= this.#answers.get(key) ?? 0
-    this.#answers.delete(key)
+    this.#answerBytes -= this.#answerSizes.get(key) ?? 0
+    this.#answerSizes.delete(key)
     const claim = this.#byKey.get(key)
     if (claim?.outcome?.kind !== 'answered') return
     const outcome = { ...claim.outcome, bodyBase64: undefined }
--- a/control/state/src/upstreamHealth.ts
+++ b/control/state/src/upstreamHealth.ts
@@ -54,15 +54,15 @@
   { at, failure }: AttemptEnd,
 ): void {
   if (failure === undefined) return
-  const elsewhere = job.failedUpstreamIds.filter((id) => id !== failure.upstreamId)
-  for (const upstreamId of elsewhere) removeMark(data, upstreamId, job.jobId)
+  const otherUpstreamIds = job.failedUpstreamIds.filter((id) => id !== failure.upstreamId)
+  for (const upstreamId of otherUpstreamIds) removeMark(data, upstreamId, job.jobId)
   const health = data.upstreamHealth.get(failure.upstreamId) ?? { markedBy: [] }
   if (health.quarantine !== undefined) {
-    if (elsewhere.length === 0)
+    if (otherUpstreamIds.length === 0)
       data.upstreamHealth.set(failure.upstreamId, extendQuarantine(health, at))
     return
   }
-  if (!failure.fast || elsewhere.length > 0 || health.markedBy.includes(job.jobId)) return
+  if (!failure.fast || otherUpstreamIds.length > 0 || health.markedBy.includes(job.jobId)) return
   const markedBy = [...health.markedBy, job.jobId]
   const changed =
     markedBy.length < quarantineMarkCount
@@ -80,8 +80,8 @@
       data.upstreamHealth.delete(upstreamId)
       continue
     }
-    const eased = { ...quarantine, admittedGangs, probed: true }
-    data.upstreamHealth.set(upstreamId, { markedBy: [], quarantine: eased })
+    const relaxedQuarantine = { ...quarantine, admittedGangs, probed: true }
+    data.upstreamHealth.set(upstreamId, { markedBy: [], quarantine: relaxedQuarantine })
   }
 }
 
@@ -89,8 +89,9 @@
   const health = data.upstreamHealth.get(upstreamId)
   if (health?.markedBy.includes(jobId) !== true) return
   const markedBy = health.markedBy.filter((id) => id !== jobId)
-  const stays = health.quarantine?.probed === true ? health.quarantine : undefined
-  if (stays !== undefined) data.upstreamHealth.set(upstreamId, { markedBy, quarantine: stays })
+  const remainingQuarantine = health.quarantine?.probed === true ? health.quarantine : undefined
+  if (remainingQuarantine !== undefined)
+    data.upstreamHealth.set(upstreamId, { markedBy, quarantine: remainingQuarantine })
   else if (markedBy.length > 0) data.upstreamHealth.set(upstreamId, { markedBy })
   else data.upstreamHealth.delete(upstreamId)
 }
--- a/control/state/test/claims.test.ts
+++ b/control/state/test/claims.test.ts
@@ -25,7 +25,7 @@
   return { upstreamId: 'u1', address: '127.0.0.1:1', taskId: 't', attempt }
 }
 
-function createOpen(key: string): ClaimChange {
+function createOpenChange(key: string): ClaimChange {
   const target = createTarget(1)
   return {
     type: 'open',
@@ -79,11 +79,11 @@
   const fence = step.isOvertaken ? Math.max(1, known - 1) : known
   if (step.do === 'take') return { type: 'claim.take', at, workspace, key, fence }
   const changes: Record<string, ClaimChange> = {
-    open: createOpen(key),
+    open: createOpenChange(key),
     move: { type: 'move', workspace, key, fence, entryId: 'e2', target: createTarget(fence + 1) },
     settle: { type: 'settle', workspace, key, fence, outcome: step.outcome },
   }
-  const change = changes[step.do] ?? createOpen(key)
+  const change = changes[step.do] ?? createOpenChange(key)
   return { type: 'claim.change', at, change, lifetimeMs }
 }
 
@@ -95,22 +95,22 @@
   fc.assert(
     fc.property(steps, fc.nat(40), (played, restoredAt) => {
       const state = createState()
-      let twin = createState()
+      let replica = createState()
       let afterMs = 0
       for (const [index, step] of played.entries()) {
-        if (index === restoredAt) twin = restoreFrom(state)
+        if (index === restoredAt) replica = restoreFrom(state)
         afterMs += step.waitMs
         const before = state.getClaim({ workspace, key: step.key })
         const command = toCommand(state, step, toTime(afterMs))
         const result = state.apply(state.appliedIndex + 1, command)
-        const twinResult = twin.apply(twin.appliedIndex + 1, command)
-        t.is(JSON.stringify(twinResult), JSON.stringify(result))
+        const replicaResult = replica.apply(replica.appliedIndex + 1, command)
+        t.is(JSON.stringify(replicaResult), JSON.stringify(result))
         const after = state.getClaim({ workspace, key: step.key })
         const ageMs = startMs + afterMs - Date.parse(before?.changedAt ?? toTime(0))
         if (before !== undefined && isFinal(before) && ageMs <= lifetimeMs) t.is(after, before)
         if (before !== undefined && after !== undefined) t.true(after.fence >= before.fence)
       }
-      t.is(JSON.stringify(twin.snapshot()), JSON.stringify(state.snapshot()))
+      t.is(JSON.stringify(replica.snapshot()), JSON.stringify(state.snapshot()))
     }),
   )
 })
@@ -118,18 +118,18 @@
 test('a full workspace refuses new claims instead of evicting old ones, and only claims with an outcome expire', (t) => {
   const state = createState()
   for (let index = 0; index < claimsMax; index++) {
-    const opened = apply(state, createOpen(`k${index}`))
+    const opened = apply(state, createOpenChange(`k${index}`))
     if (index === 0 || opened.type !== 'claim') continue
     const { fence, key } = opened.claim
     const outcome = { kind: 'failed' as const, reason: 'r' }
     apply(state, { type: 'settle', workspace, key, fence, outcome })
   }
-  t.like(apply(state, createOpen('more'), lifetimeMs), {
+  t.like(apply(state, createOpenChange('more'), lifetimeMs), {
     type: 'refused',
     error: { kind: 'over-limit' },
   })
-  t.is(apply(state, createOpen('k7'), lifetimeMs).type, 'claim', 'a known key is still found')
-  t.is(apply(state, createOpen('more'), lifetimeMs + 1).type, 'claim')
+  t.is(apply(state, createOpenChange('k7'), lifetimeMs).type, 'claim', 'a known key is still found')
+  t.is(apply(state, createOpenChange('more'), lifetimeMs + 1).type, 'claim')
   t.is(state.getClaim({ workspace, key: 'k7' }), undefined)
   t.is(state.getClaim({ workspace, key: 'k0' })?.outcome, undefined)
   t.not(state.getClaim({ workspace, key: 'k0' }), undefined, 'a claim without an outcome is kept')
@@ -140,7 +140,7 @@
   const bodyBytes = 16_384
   const bodyBase64 = Buffer.alloc(bodyBytes).toString('base64')
   for (let index = 0; index < 257; index++) {
-    const opened = apply(state, createOpen(`k${index}`))
+    const opened = apply(state, createOpenChange(`k${index}`))
     if (opened.type !== 'claim') continue
     const { fence, key } = opened.claim
     const outcome = { kind: 'answered' as const, status: 200, bodyBytes, bodyBase64 }
--- a/control/state/test/controlState.test.ts
+++ b/control/state/test/controlState.test.ts
@@ -31,8 +31,8 @@
   const job = jobs[Number(command.jobId.slice('job-'.length)) % Math.max(1, jobs.length)]
   if (job === undefined) return command
   const aimed = { ...command, jobId: job.jobId }
-  const hits = 'fence' in command && command.fence > 4
-  return hits ? ({ ...aimed, fence: job.placement?.fence ?? 1 } as Command) : aimed
+  const usesCurrentFence = 'fence' in command && command.fence > 4
+  return usesCurrentFence ? ({ ...aimed, fence: job.placement?.fence ?? 1 } as Command) : aimed
 }
 
 function restoreFrom(state: ControlState): ControlState {
@@ -149,12 +149,12 @@
   const property = fc.property(
     fc.array(commands, { minLength: 30, maxLength: 80 }),
     fc.nat(80),
-    (list, cut) => {
+    (list, restoreStep) => {
       const whole = ControlState.create()
       let restored = ControlState.create()
       for (const state of [whole, restored]) applyChange(state, change('initial', 0))
       for (const [step, command] of list.entries()) {
-        if (step === cut) restored = restoreFrom(restored)
+        if (step === restoreStep) restored = restoreFrom(restored)
         const aimed = targetLiveJob(whole, command)
         apply(whole, aimed)
         apply(restored, aimed)
--- a/control/state/test/preemptJob.test.ts
+++ b/control/state/test/preemptJob.test.ts
@@ -25,21 +25,21 @@
   const property = fc.property(fields, fc.boolean(), (request, withCheckpoint) => {
     const { apply, head, state } = startJob(request)
     apply({ type: 'job.preempt', ...head, withCheckpoint })
-    const may = withCheckpoint ? request.checkpointable : request.repeatable
-    t.is(state.getLiveJob(head.jobId)?.state, may ? 'stopping' : 'running')
+    const isAllowed = withCheckpoint ? request.checkpointable : request.repeatable
+    t.is(state.getLiveJob(head.jobId)?.state, isAllowed ? 'stopping' : 'running')
   })
   fc.assert(property)
 })
 
 test('a started job that is not repeatable is requeued only if it was preempted with a checkpoint', (t) => {
-  const property = fc.property(fc.boolean(), fc.boolean(), (isVictim, hasCheckpoint) => {
+  const property = fc.property(fc.boolean(), fc.boolean(), (isPreempted, hasCheckpoint) => {
     const { apply, head, state } = startJob({ repeatable: false, checkpointable: true })
-    if (isVictim) apply({ type: 'job.preempt', ...head, withCheckpoint: true })
+    if (isPreempted) apply({ type: 'job.preempt', ...head, withCheckpoint: true })
     const sent = { startSent: true, countsAsFailure: false, retryAt: at }
     const checkpoint = hasCheckpoint ? { checkpointId: 'c' } : {}
     apply({ type: 'job.requeue', ...head, ...sent, ...checkpoint })
     const isQueued = state.getLiveJob(head.jobId)?.state === 'queued'
-    t.is(isQueued, isVictim && hasCheckpoint)
+    t.is(isQueued, isPreempted && hasCheckpoint)
   })
   fc.assert(property)
 })
--- a/control/state/test/upstreamHealth.test.ts
+++ b/control/state/test/upstreamHealth.test.ts
@@ -34,28 +34,33 @@
   return fence
 }
 
-function failOn(trial: TestState, jobId: string, upstreamId: string): void {
-  const fence = startOn(trial, jobId, upstreamId)
+function failOn(fixture: TestState, jobId: string, upstreamId: string): void {
+  const fence = startOn(fixture, jobId, upstreamId)
   const failure = { upstreamId, fast: true }
   const retryAt = new Date(start).toISOString()
   const head = { type: 'job.requeue', jobId, fence, reason: 'r', retryAt }
-  trial.apply({ ...head, startSent: true, countsAsFailure: true, failure })
+  fixture.apply({ ...head, startSent: true, countsAsFailure: true, failure })
 }
 
-function finishOn(trial: TestState, upstreamId: string): void {
-  const jobId = submit(trial)
-  const fence = startOn(trial, jobId, upstreamId)
-  trial.apply({ type: 'job.finish', jobId, fence, parts: [{ taskId: 't', upstreamId, body: '' }] })
+function finishOn(fixture: TestState, upstreamId: string): void {
+  const jobId = submit(fixture)
+  const fence = startOn(fixture, jobId, upstreamId)
+  fixture.apply({
+    type: 'job.finish',
+    jobId,
+    fence,
+    parts: [{ taskId: 't', upstreamId, body: '' }],
+  })
 }
 
 test('fast failures of several jobs quarantine their upstream; those of a single job do not', (t) => {
-  const trial = createState()
-  const one = submit(trial)
-  for (let times = 0; times < 5; times++) failOn(trial, one, 'u1')
-  t.is(trial.state.getUpstreamHealth('u1')?.quarantine, undefined)
-  failOn(trial, submit(trial), 'u1')
-  failOn(trial, submit(trial), 'u1')
-  t.truthy(trial.state.getUpstreamHealth('u1')?.quarantine)
+  const fixture = createState()
+  const one = submit(fixture)
+  for (let times = 0; times < 5; times++) failOn(fixture, one, 'u1')
+  t.is(fixture.state.getUpstreamHealth('u1')?.quarantine, undefined)
+  failOn(fixture, submit(fixture), 'u1')
+  failOn(fixture, submit(fixture), 'u1')
+  t.truthy(fixture.state.getUpstreamHealth('u1')?.quarantine)
 })
 
 test('jobs that each fail on several upstreams leave no upstream in quarantine', (t) => {
@@ -65,15 +70,15 @@
     maxLength: 12,
   })
   const property = fc.property(orders, (jobs) => {
-    const trial = createState()
-    const ids = jobs.map(() => submit(trial))
+    const fixture = createState()
+    const ids = jobs.map(() => submit(fixture))
     for (let round = 0; round < upstreams.length; round++) {
       for (const [index, order] of jobs.entries()) {
         const upstreamId = order[round]
-        if (upstreamId !== undefined) failOn(trial, ids[index] ?? '', upstreamId)
+        if (upstreamId !== undefined) failOn(fixture, ids[index] ?? '', upstreamId)
       }
     }
-    return upstreams.every((id) => trial.state.getUpstreamHealth(id)?.quarantine === undefined)
+    return upstreams.every((id) => fixture.state.getUpstreamHealth(id)?.quarantine === undefined)
   })
   t.notThrows(() => {
     fc.assert(property)
@@ -81,43 +86,43 @@
 })
 
 test('a success clears the failure marks of an upstream', (t) => {
-  const trial = createState()
-  failOn(trial, submit(trial), 'u1')
-  failOn(trial, submit(trial), 'u1')
-  finishOn(trial, 'u1')
-  failOn(trial, submit(trial), 'u1')
-  t.is(trial.state.getUpstreamHealth('u1')?.quarantine, undefined)
+  const fixture = createState()
+  failOn(fixture, submit(fixture), 'u1')
+  failOn(fixture, submit(fixture), 'u1')
+  finishOn(fixture, 'u1')
+  failOn(fixture, submit(fixture), 'u1')
+  t.is(fixture.state.getUpstreamHealth('u1')?.quarantine, undefined)
 })
 
 test('a failed probe doubles the pause, and each success doubles the admitted gangs until the quarantine ends', (t) => {
-  const trial = createState()
-  for (let jobs = 0; jobs < 3; jobs++) failOn(trial, submit(trial), 'u1')
-  trial.passTime(pauseMs)
-  failOn(trial, submit(trial), 'u1')
-  t.like(trial.state.getUpstreamHealth('u1')?.quarantine, {
+  const fixture = createState()
+  for (let jobs = 0; jobs < 3; jobs++) failOn(fixture, submit(fixture), 'u1')
+  fixture.passTime(pauseMs)
+  failOn(fixture, submit(fixture), 'u1')
+  t.like(fixture.state.getUpstreamHealth('u1')?.quarantine, {
     pauseMs: pauseMs * 2,
     admittedGangs: 1,
   })
   const admitted = [1, 2, 3].map(() => {
-    finishOn(trial, 'u1')
-    return trial.state.getUpstreamHealth('u1')?.quarantine?.admittedGangs
+    finishOn(fixture, 'u1')
+    return fixture.state.getUpstreamHealth('u1')?.quarantine?.admittedGangs
   })
   t.deepEqual(admitted, [2, 4, undefined])
 })
 
 test('a quarantine is restored from a snapshot', (t) => {
-  const trial = createState()
-  for (let jobs = 0; jobs < 3; jobs++) failOn(trial, submit(trial), 'u1')
-  const restored = ControlState.restore(trial.state.snapshot())
-  t.deepEqual(restored.getUpstreamHealth('u1'), trial.state.getUpstreamHealth('u1'))
+  const fixture = createState()
+  for (let jobs = 0; jobs < 3; jobs++) failOn(fixture, submit(fixture), 'u1')
+  const restored = ControlState.restore(fixture.state.snapshot())
+  t.deepEqual(restored.getUpstreamHealth('u1'), fixture.state.getUpstreamHealth('u1'))
 })
 
 test('a queued job that can never run ends cancelled, or failed where an attempt was started', (t) => {
-  const trial = createState()
-  const fresh = submit(trial)
-  const tried = submit(trial)
-  failOn(trial, tried, 'u1')
-  for (const jobId of [fresh, tried]) trial.apply({ type: 'job.refuse', jobId, reason: 'r' })
-  t.is(trial.state.getJob('demo', fresh)?.state, 'cancelled')
-  t.is(trial.state.getJob('demo', tried)?.state, 'failed')
+  const fixture = createState()
+  const fresh = submit(fixture)
+  const tried = submit(fixture)
+  failOn(fixture, tried, 'u1')
+  for (const jobId of [fresh, tried]) fixture.apply({ type: 'job.refuse', jobId, reason: 'r' })
+  t.is(fixture.state.getJob('demo', fresh)?.state, 'cancelled')
+  t.is(fixture.state.getJob('demo', tried)?.state, 'failed')
 })
