--- a/control/api/src/clusterView.ts
+++ b/control/api/src/clusterView.ts
@@ -45,7 +45,7 @@
   upstreamVersion: countSchema,
   upstreams: z.array(upstreamViewSchema),
   entries: z.array(entryIdentitySchema),
-  /** How long the contracts may be enforced without a further update, counted from when the request was sent. */
+  /** How long the contracts may be enforced without another update, counted from the sending of the request. */
   contractLeaseMs: durationMsSchema,
 })
 export type ClusterUpdate = z.infer<typeof clusterUpdateSchema>
--- a/control/api/src/statusView.ts
+++ b/control/api/src/statusView.ts
@@ -48,7 +48,7 @@
   p99Ms: z.number(),
 })
 
-/** Completion times of jobs from submission to end, and the share of free capacity that each shape cannot use. */
+/** Completion times of jobs from submission to end, and the share of free capacity each shape cannot use. */
 export const clusterReportSchema = z.object({
   cluster: z.object({
     completion: quantilesSchema,
--- a/control/log/src/raftLog.ts
+++ b/control/log/src/raftLog.ts
@@ -1,4 +1,4 @@
-/** The replicated log over Raft: commands that a quorum of voters has committed are applied to the control state. */
+/** The replicated log over Raft: commands committed by the voters are applied to the control state. */
 import {
   RaftNode,
   type Member,
--- a/control/state/src/takeClaim.ts
+++ b/control/state/src/takeClaim.ts
@@ -1,4 +1,7 @@
-/** Takes an unresolved claim away from its entry by raising its fence; the entry's later changes have no effect. */
+/**
+ * Takes an unresolved claim away from its entry by raising its fence. Later changes by that entry have no
+ * effect.
+ */
 import { isResolved } from './claimTable.js'
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
