--- a/control/log/test/raftLog.test.ts
+++ b/control/log/test/raftLog.test.ts
@@ -40,34 +40,34 @@
   return { type: 'contract.apply', at, change: { changeId, expectedRevision, contract } }
 }
 
-test('what was proposed is there after a restart, in the order of the proposals', async (t) => {
+test('committed commands are restored after a restart, in the order in which they were proposed', async (t) => {
   const folder = await createFolder()
   const { log, holder } = await openLog(folder)
   await Promise.all([0, 1, 2, 3].map((revision) => unwrap(log.propose(change(revision)))))
   await log.stop()
   t.like((await log.propose(change(4)).run()).extract(), { kind: 'draining' })
-  const again = await openLog(folder)
-  t.deepEqual(again.holder.state.snapshot(), holder.state.snapshot())
-  t.is(again.holder.state.getContract('demo')?.revision, 4)
-  await again.log.stop()
+  const reopened = await openLog(folder)
+  t.deepEqual(reopened.holder.state.snapshot(), holder.state.snapshot())
+  t.is(reopened.holder.state.getContract('demo')?.revision, 4)
+  await reopened.log.stop()
 })
 
-test('a restart from a snapshot and the log behind it gives the same state, and the first answer to a resent change', async (t) => {
+test('a restart from a snapshot and later log entries restores the same state, and a resent change gets its first result', async (t) => {
   const folder = await createFolder()
   const limits = { snapshotEveryEntries: 7, keepEntries: 2 }
   const { log, holder } = await openLog(folder, limits)
   for (let revision = 0; revision < 20; revision++) await unwrap(log.propose(change(revision)))
   await log.stop()
-  const again = await openLog(folder, limits)
-  t.true((again.log.describe().snapshotAgeMs ?? -1) >= 0)
-  t.deepEqual(again.holder.state.snapshot(), holder.state.snapshot())
-  const first = await unwrap(again.log.propose(change(3)))
+  const reopened = await openLog(folder, limits)
+  t.true((reopened.log.describe().snapshotAgeMs ?? -1) >= 0)
+  t.deepEqual(reopened.holder.state.snapshot(), holder.state.snapshot())
+  const first = await unwrap(reopened.log.propose(change(3)))
   t.like(first, { type: 'contract', record: { revision: 4 } })
-  t.is(again.holder.state.getContract('demo')?.revision, 20)
-  await again.log.stop()
+  t.is(reopened.holder.state.getContract('demo')?.revision, 20)
+  await reopened.log.stop()
 })
 
-test('a sole voter cannot be removed, and a member under a taken address is refused', async (t) => {
+test('removing the sole voter or an unknown member is refused, and so is adding a member whose address is taken', async (t) => {
   const { log } = await openLog(await createFolder())
   t.like((await log.removeMember('c1').run()).extract(), { kind: 'membership-refused' })
   t.like((await log.removeMember('c9').run()).extract(), { kind: 'unknown-member' })
--- a/control/state/src/applyContract.ts
+++ b/control/state/src/applyContract.ts
@@ -1,4 +1,4 @@
-/** Accepts or refuses an operator's change of a contract. */
+/** Applies an operator's contract change, with optimistic concurrency control by revision. */
 import type { ContractChange } from '@nettlespur/api.schemas'
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
@@ -6,7 +6,10 @@
 import { changeIdsMax } from './retention.js'
 import type { ChangeRecord, StateData } from './stateData.js'
 
-/** A change id seen before gives its first answer again, also where newer revisions have followed. */
+/**
+ * Idempotent by change id: a resent change returns its first result, even if newer revisions have been
+ * accepted since.
+ */
 export function applyContract(
   data: StateData,
   index: number,
@@ -14,7 +17,7 @@
 ): CommandResult {
   const digest = digestValue(change)
   const earlier = data.changes.get(change.changeId)
-  if (earlier !== undefined) return answerAgain(change, earlier, digest)
+  if (earlier !== undefined) return repeatFirstResult(change, earlier, digest)
   const { workspace } = change.contract
   const present = data.contracts.get(workspace)
   const revision = present?.record.revision ?? 0
@@ -23,21 +26,25 @@
     return refuse(
       'stale-revision',
       `the contract of ${workspace} is at revision ${revision}${winner}; the change expected ${change.expectedRevision}`,
-      { hint: 'read the contract again, and send the change with its present revision' },
+      { hint: 'read the contract again and resend the change with the current revision' },
     )
   }
   const record = { contract: change.contract, revision: revision + 1, changeIndex: index }
   data.contracts.set(workspace, { record, changeId: change.changeId })
   data.contractIndex = index
-  rememberChange(data, change.changeId, { digest, revision: record.revision, changeIndex: index })
+  recordChange(data, change.changeId, { digest, revision: record.revision, changeIndex: index })
   return { type: 'contract', record }
 }
 
-function answerAgain(change: ContractChange, earlier: ChangeRecord, digest: string): CommandResult {
+function repeatFirstResult(
+  change: ContractChange,
+  earlier: ChangeRecord,
+  digest: string,
+): CommandResult {
   if (earlier.digest !== digest) {
     return refuse(
       'change-id-conflict',
-      `change ${change.changeId} was accepted with another body, as change index ${earlier.changeIndex}`,
+      `change ${change.changeId} was already accepted with a different body, at change index ${earlier.changeIndex}`,
       { hint: 'use a new change id for a new change' },
     )
   }
@@ -45,7 +52,7 @@
   return { type: 'contract', record: { contract: change.contract, revision, changeIndex } }
 }
 
-function rememberChange(data: StateData, changeId: string, record: ChangeRecord): void {
+function recordChange(data: StateData, changeId: string, record: ChangeRecord): void {
   data.changes.set(changeId, record)
   for (const oldest of data.changes.keys()) {
     if (data.changes.size <= changeIdsMax) return
--- a/control/state/src/claimTable.ts
+++ b/control/state/src/claimTable.ts
@@ -1,11 +1,11 @@
 /**
- * The claims of one workspace, in order of their last change. Expired ones go by the time of commands,
- * never by a clock.
+ * The claims of one workspace, in order of their last change. Expiry is judged by the timestamps of
+ * commands, never by a local clock, so that all instances drop the same claims.
  */
 import type { Claim } from '@nettlespur/api.schemas'
 import { claimAnswersBytesMax } from './retention.js'
 
-/** Whether it is known what became of the request. */
+/** Returns true if the outcome of the claimed request is known. */
 export function isResolved({ outcome }: Claim): boolean {
   return outcome !== undefined && outcome.kind !== 'unknown'
 }
@@ -13,8 +13,8 @@
 export class ClaimTable {
   readonly #byKey = new Map<string, Claim>()
   readonly #unresolved = new Set<string>()
-  /** Bytes of each answer that is kept, oldest first. */
-  readonly #answers = new Map<string, number>()
+  /** Size in bytes of each kept answer by claim key, oldest first. */
+  readonly #answerSizes = new Map<string, number>()
   #answerBytes = 0
 
   get size(): number {
@@ -33,22 +33,25 @@
     return [...this.#unresolved].flatMap((key) => this.#byKey.get(key) ?? [])
   }
 
-  /** Puts a claim behind all others: it changed last. The oldest answers go until the others fit. */
+  /**
+   * Inserts or replaces a claim and moves it to the end of the order. Drops the bodies of the oldest answers
+   * until the rest fit into `claimAnswersBytesMax`.
+   */
   put(claim: Claim): void {
     this.#drop(claim.key)
     this.#byKey.set(claim.key, claim)
     if (!isResolved(claim)) this.#unresolved.add(claim.key)
     if (claim.outcome?.kind !== 'answered' || claim.outcome.bodyBase64 === undefined) return
-    this.#answers.set(claim.key, claim.outcome.bodyBytes)
+    this.#answerSizes.set(claim.key, claim.outcome.bodyBytes)
     this.#answerBytes += claim.outcome.bodyBytes
-    for (const oldest of this.#answers.keys()) {
+    for (const oldest of this.#answerSizes.keys()) {
       if (this.#answerBytes <= claimAnswersBytesMax) return
       this.#dropBody(oldest)
     }
   }
 
-  /** Drops claims whose outcome has stood for their lifetime. One that still runs is always kept. */
-  forgetOld(timeMs: number, lifetimeMs: number): void {
+  /** Drops claims whose last change is older than `lifetimeMs`. A claim without an outcome is always kept. */
+  pruneExpired(timeMs: number, lifetimeMs: number): void {
     for (const [key, { changedAt, outcome }] of this.#byKey) {
       if (outcome === undefined) continue
       if (timeMs - Date.parse(changedAt) <= lifetimeMs) return
@@ -59,13 +62,13 @@
   #drop(key: string): void {
     this.#byKey.delete(key)
     this.#unresolved.delete(key)
-    this.#answerBytes -= this.#answers.get(key) ?? 0
-    this.#answers.delete(key)
+    this.#answerBytes -= this.#answerSizes.get(key) ?? 0
+    this.#answerSizes.delete(key)
   }
 
   #dropBody(key: string): void {
-    this.#answerBytes -= this.#answers.get(key) ?? 0
-    this.#answers.delete(key)
+    this.#answerBytes -= this.#answerSizes.get(key) ?? 0
+    this.#answerSizes.delete(key)
     const claim = this.#byKey.get(key)
     if (claim?.outcome?.kind !== 'answered') return
     const outcome = { ...claim.outcome, bodyBase64: undefined }
--- a/control/state/src/requeueJob.ts
+++ b/control/state/src/requeueJob.ts
@@ -1,13 +1,13 @@
 /**
- * Takes a stopped gang back into the queue. A job that is not repeatable goes back only if it never started,
- * or was preempted with a checkpoint of the whole gang.
+ * Returns a stopped gang to the queue. A job that is not repeatable is requeued only if no start of this
+ * attempt was sent, or if it was preempted with a checkpoint of the whole gang.
  */
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult } from './commandResult.js'
 import { changeJob, findPlacedJob, isRefused } from './jobChange.js'
 import type { JobRecord } from './jobRecord.js'
 import type { StateData } from './stateData.js'
-import { listFailedUpstreams, noteTaskFailure } from './upstreamHealth.js'
+import { listFailedUpstreams, recordTaskFailure } from './upstreamHealth.js'
 
 export function requeueJob(
   data: StateData,
@@ -18,8 +18,8 @@
   if (isRefused(job)) return job
   const mayHaveRun = job.startCommitted && command.startSent
   if (job.cancelRequested) return refuse('internal', `${job.jobId} is cancelled`)
-  const goesOn = job.preemption !== undefined && command.checkpointId !== undefined
-  if (mayHaveRun && !job.request.repeatable && !goesOn) {
+  const canResume = job.preemption !== undefined && command.checkpointId !== undefined
+  if (mayHaveRun && !job.request.repeatable && !canResume) {
     return refuse('internal', `${job.jobId} is not repeatable and may have run`)
   }
   const result = changeJob(data, job, {
@@ -38,11 +38,11 @@
       failedAttempts: job.failedAttempts + (command.countsAsFailure ? 1 : 0),
     },
   })
-  if (result.type === 'job') noteTaskFailure(data, job, command)
+  if (result.type === 'job') recordTaskFailure(data, job, command)
   return result
 }
 
-/** A first attempt that never started leaves no start time behind. */
+/** Clears the start time if the first attempt never started; otherwise keeps it. */
 function pickStartedAt(job: JobRecord, mayHaveRun: boolean): string | undefined {
   return mayHaveRun || job.attempts > 1 ? job.startedAt : undefined
 }
--- a/control/state/src/submitJob.ts
+++ b/control/state/src/submitJob.ts
@@ -1,13 +1,13 @@
-/** Takes a job into the queue of its workspace, once for each job key. */
+/** Queues a job for its workspace. Idempotent by job key. */
 import type { ContractLimits, JobRequest } from '@nettlespur/api.schemas'
 import type { CommandOf } from './command.js'
 import { refuse, type CommandResult, type Refused } from './commandResult.js'
 import { digestValue } from './digestValue.js'
-import { forgetOldRecords } from './forgetOldRecords.js'
+import { pruneHistory } from './pruneHistory.js'
 import type { JobRecord } from './jobRecord.js'
 import { jobKeysMax } from './retention.js'
 import {
-  openHistory,
+  getOrCreateHistory,
   type JobKeyRecord,
   type StateData,
   type WorkspaceHistory,
@@ -25,12 +25,12 @@
   if (contract === undefined) {
     return refuse('unknown-workspace', `no contract for workspace ${request.workspace}`)
   }
-  const history = openHistory(data, request.workspace)
-  forgetOldRecords(history, data.timeMs)
+  const history = getOrCreateHistory(data, request.workspace)
+  pruneHistory(history, data.timeMs)
   const digest = digestValue(request)
-  const known = findKey(history, request.jobKey)
-  if (known !== undefined) return answerAgain(data, history, known, digest)
-  const fault = findFault(data, history, request, contract.limits)
+  const known = findJobKey(history, request.jobKey)
+  if (known !== undefined) return repeatFirstResult(data, history, known, digest)
+  const fault = findLimitViolation(data, history, request, contract.limits)
   if (fault !== undefined) return fault
   const job = createJob(`job-${index}`, request, at)
   data.jobs.set(job.jobId, job)
@@ -40,12 +40,15 @@
   return { type: 'job', job }
 }
 
-function findKey(history: WorkspaceHistory, jobKey: string | undefined): JobKeyRecord | undefined {
+function findJobKey(
+  history: WorkspaceHistory,
+  jobKey: string | undefined,
+): JobKeyRecord | undefined {
   if (jobKey === undefined) return undefined
   return history.jobKeys.get(jobKey) ?? history.endedJobKeys.get(jobKey)
 }
 
-function answerAgain(
+function repeatFirstResult(
   data: StateData,
   history: WorkspaceHistory,
   known: JobKeyRecord,
@@ -54,7 +57,7 @@
   if (known.digest !== digest) {
     return refuse(
       'idempotency-conflict',
-      `the job key belongs to ${known.jobId}, with another body`,
+      `the job key was already used for ${known.jobId} with a different body`,
       {
         hint: 'use a new job key for a new job',
       },
@@ -62,10 +65,13 @@
   }
   const job = data.jobs.get(known.jobId) ?? history.endedJobs.get(known.jobId)
   if (job !== undefined) return { type: 'job', job }
-  return refuse('answer-expired', `${known.jobId} of this job key has ended and is no longer kept`)
+  return refuse(
+    'answer-expired',
+    `${known.jobId}, submitted under this job key, has ended and is no longer kept`,
+  )
 }
 
-function findFault(
+function findLimitViolation(
   data: StateData,
   history: WorkspaceHistory,
   request: JobRequest,
@@ -75,30 +81,38 @@
   if (accelerators > limits.largestGangAccelerators) {
     return refuse(
       'impossible-shape',
-      `a gang of ${accelerators} accelerators is larger than the contract's largest, ${limits.largestGangAccelerators}`,
+      `a gang of ${accelerators} accelerators exceeds the contract's largest gang, ${limits.largestGangAccelerators}`,
     )
   }
   if (accelerators > limits.concurrentAccelerators) {
     return refuse(
       'impossible-shape',
-      `a gang of ${accelerators} accelerators is more than the contract allows at once, ${limits.concurrentAccelerators}`,
+      `a gang of ${accelerators} accelerators exceeds the contract's concurrent accelerators, ${limits.concurrentAccelerators}`,
     )
   }
-  const waiting = countWaiting(data, request.workspace)
+  const waiting = countQueuedJobs(data, request.workspace)
   if (waiting >= limits.queuedJobs) {
-    return refuse('queue-full', `${waiting} jobs of ${request.workspace} are queued already`, {
-      retryAfterMs: queueRetryAfterMs,
-    })
+    return refuse(
+      'queue-full',
+      `${waiting} jobs of workspace ${request.workspace} are already queued`,
+      {
+        retryAfterMs: queueRetryAfterMs,
+      },
+    )
   }
   const keys = history.jobKeys.size + history.endedJobKeys.size
   if (request.jobKey === undefined || keys < jobKeysMax) return undefined
-  return refuse('over-limit', `${keys} job keys of ${request.workspace} are kept already`, {
-    retryAfterMs: keysRetryAfterMs,
-    hint: 'a key is kept for a day after its job has ended',
-  })
+  return refuse(
+    'over-limit',
+    `${keys} job keys of workspace ${request.workspace} are already kept, the maximum`,
+    {
+      retryAfterMs: keysRetryAfterMs,
+      hint: 'a key is kept for a day after its job has ended',
+    },
+  )
 }
 
-function countWaiting(data: StateData, workspace: string): number {
+function countQueuedJobs(data: StateData, workspace: string): number {
   let count = 0
   for (const job of data.jobs.values()) {
     if (job.state === 'queued' && job.request.workspace === workspace) count += 1
--- a/control/state/src/upstreamHealth.ts
+++ b/control/state/src/upstreamHealth.ts
@@ -1,74 +1,78 @@
 /**
- * Tells upstreams that fail everything from jobs that fail everywhere. The first fast failure of a job is
- * held against its upstream; when the job fails on another one too, the first mark is taken back, as the
- * fault is then the job's. Marks of several jobs without a success in between quarantine the upstream.
- * After a pause it is probed, and each success there doubles the gangs it may hold, until it is let back.
+ * Distinguishes faulty upstreams, on which every job fails, from faulty jobs, which fail on every upstream.
+ * A job's first fast failure marks the upstream it ran on. If the job then fails on another upstream too, the
+ * fault is the job's and the mark is removed. Marks by several jobs without a success in between quarantine
+ * the upstream. After a pause the upstream is probed; each success doubles the number of gangs it may hold,
+ * until the quarantine ends.
  */
 import { z } from 'zod'
 import type { TaskFailure } from './command.js'
 import type { JobRecord } from './jobRecord.js'
 import type { StateData } from './stateData.js'
 
-/** Jobs whose marks quarantine an upstream. */
-export const quarantineMarks = 3
-/** An upstream that may hold more gangs than this again is let back. */
+/** Number of distinct jobs whose marks quarantine an upstream. */
+export const quarantineMarkCount = 3
+/** The quarantine ends when a success would raise the admitted gangs above this number. */
 const admittedGangsMax = 4
-const firstPauseMs = 10_000
+const initialPauseMs = 10_000
 const longestPauseMs = 600_000
 
 const quarantineSchema = z.object({
   since: z.iso.datetime(),
-  /** Not probed before this time. */
+  /** The upstream is not probed before this time. */
   probeAt: z.iso.datetime(),
   pauseMs: z.int().positive(),
-  /** Gangs it may hold at once from `probeAt` on. */
+  /** Number of gangs the upstream may hold at once from `probeAt` on. */
   admittedGangs: z.int().positive(),
-  /** True once a probe has failed, or has succeeded: taking marks back no longer ends it. */
+  /** True once a probe has failed or succeeded. From then on, removing marks no longer ends the quarantine. */
   probed: z.boolean(),
 })
 
 export const upstreamHealthSchema = z.object({
-  /** Jobs whose failure is held against the upstream. */
+  /** Jobs whose failures mark the upstream. */
   markedBy: z.array(z.string()),
   quarantine: quarantineSchema.optional(),
 })
 export type UpstreamHealth = z.infer<typeof upstreamHealthSchema>
 
-/** What is known of a failed attempt, as its command carries it. */
+/** The fields of a command that ends an attempt. */
 interface AttemptEnd {
   readonly at: string
   readonly failure?: TaskFailure | undefined
 }
 
-/** The upstreams on which tasks of the job have failed, with the newest one. */
+/** Returns the upstreams on which tasks of the job have failed, including that of `failure`. */
 export function listFailedUpstreams(job: JobRecord, failure: TaskFailure | undefined): string[] {
   const known = job.failedUpstreamIds
   if (failure === undefined || known.includes(failure.upstreamId)) return known
   return [...known, failure.upstreamId]
 }
 
-export function noteTaskFailure(
+export function recordTaskFailure(
   data: StateData,
   job: JobRecord,
   { at, failure }: AttemptEnd,
 ): void {
   if (failure === undefined) return
-  const elsewhere = job.failedUpstreamIds.filter((id) => id !== failure.upstreamId)
-  for (const upstreamId of elsewhere) takeMarkBack(data, upstreamId, job.jobId)
+  const otherUpstreamIds = job.failedUpstreamIds.filter((id) => id !== failure.upstreamId)
+  for (const upstreamId of otherUpstreamIds) removeMark(data, upstreamId, job.jobId)
   const health = data.upstreamHealth.get(failure.upstreamId) ?? { markedBy: [] }
   if (health.quarantine !== undefined) {
-    if (elsewhere.length === 0) data.upstreamHealth.set(failure.upstreamId, prolong(health, at))
+    if (otherUpstreamIds.length === 0)
+      data.upstreamHealth.set(failure.upstreamId, extendQuarantine(health, at))
     return
   }
-  if (!failure.fast || elsewhere.length > 0 || health.markedBy.includes(job.jobId)) return
+  if (!failure.fast || otherUpstreamIds.length > 0 || health.markedBy.includes(job.jobId)) return
   const markedBy = [...health.markedBy, job.jobId]
   const changed =
-    markedBy.length < quarantineMarks ? { markedBy } : { markedBy, quarantine: open(at) }
+    markedBy.length < quarantineMarkCount
+      ? { markedBy }
+      : { markedBy, quarantine: startQuarantine(at) }
   data.upstreamHealth.set(failure.upstreamId, changed)
 }
 
-/** A finished job speaks for each upstream it ran on. */
-export function noteSuccess(data: StateData, job: JobRecord): void {
+/** Clears the marks of each upstream that a finished job ran on, and relaxes or ends its quarantine. */
+export function recordSuccess(data: StateData, job: JobRecord): void {
   for (const { upstreamId } of job.placement?.members ?? []) {
     const quarantine = data.upstreamHealth.get(upstreamId)?.quarantine
     const admittedGangs = (quarantine?.admittedGangs ?? admittedGangsMax) * 2
@@ -76,28 +80,32 @@
       data.upstreamHealth.delete(upstreamId)
       continue
     }
-    const eased = { ...quarantine, admittedGangs, probed: true }
-    data.upstreamHealth.set(upstreamId, { markedBy: [], quarantine: eased })
+    const relaxedQuarantine = { ...quarantine, admittedGangs, probed: true }
+    data.upstreamHealth.set(upstreamId, { markedBy: [], quarantine: relaxedQuarantine })
   }
 }
 
-function takeMarkBack(data: StateData, upstreamId: string, jobId: string): void {
+function removeMark(data: StateData, upstreamId: string, jobId: string): void {
   const health = data.upstreamHealth.get(upstreamId)
   if (health?.markedBy.includes(jobId) !== true) return
   const markedBy = health.markedBy.filter((id) => id !== jobId)
-  const stays = health.quarantine?.probed === true ? health.quarantine : undefined
-  if (stays !== undefined) data.upstreamHealth.set(upstreamId, { markedBy, quarantine: stays })
+  const remainingQuarantine = health.quarantine?.probed === true ? health.quarantine : undefined
+  if (remainingQuarantine !== undefined)
+    data.upstreamHealth.set(upstreamId, { markedBy, quarantine: remainingQuarantine })
   else if (markedBy.length > 0) data.upstreamHealth.set(upstreamId, { markedBy })
   else data.upstreamHealth.delete(upstreamId)
 }
 
-function open(at: string): z.infer<typeof quarantineSchema> {
-  const probeAt = addMs(at, firstPauseMs)
-  return { since: at, probeAt, pauseMs: firstPauseMs, admittedGangs: 1, probed: false }
+function startQuarantine(at: string): z.infer<typeof quarantineSchema> {
+  const probeAt = addMs(at, initialPauseMs)
+  return { since: at, probeAt, pauseMs: initialPauseMs, admittedGangs: 1, probed: false }
 }
 
-/** A failure in quarantine doubles the pause, and the way back begins anew. */
-function prolong({ markedBy, quarantine }: UpstreamHealth, at: string): UpstreamHealth {
+/**
+ * Doubles the pause after a failed probe and resets the admitted gangs to one. A failure before `probeAt`
+ * leaves the quarantine unchanged.
+ */
+function extendQuarantine({ markedBy, quarantine }: UpstreamHealth, at: string): UpstreamHealth {
   if (quarantine === undefined || at < quarantine.probeAt) return { markedBy, quarantine }
   const pauseMs = Math.min(quarantine.pauseMs * 2, longestPauseMs)
   const probeAt = addMs(at, pauseMs)
