--- a/control/state/src/takeClaim.ts
+++ b/control/state/src/takeClaim.ts
@@ -17,7 +17,7 @@
   if (claim.fence !== fence || isResolved(claim)) return { type: 'claim', claim }
   const outcome = claim.outcome ?? {
     kind: 'unknown' as const,
-    reason: 'the claim was taken from its entry',
+    reason: 'its entry was overtaken',
   }
   const taken = { ...claim, fence: index, changedAt: at, outcome }
   data.claims.get(workspace)?.put(taken)
