--- a/batch/service/__utils__/fakeFleet.ts
+++ b/batch/service/__utils__/fakeFleet.ts
@@ -11,14 +11,14 @@
 import { createFleetConfig, fleetAttemptsMax } from './createFleetConfig.js'
 import { silentLogger } from './silentLogger.js'
 import { FaultyPort, type LinkFault } from './faultyPort.js'
-import type { FakeFleetOptions, FleetTrouble } from './fleetOptions.js'
+import type { FakeFleetOptions, FleetFault } from './fleetOptions.js'
 
 export const upstreamCount = 4
 const acceleratorsEach = 8
 const commitMs = 8
 const announceEveryMs = 1500
 /** Until the next life of an upstream that a run has brought down. */
-const reviveMs = 3000
+const restartDelayMs = 3000
 
 export class FakeFleet {
   readonly clock = new ManualClock()
@@ -28,12 +28,12 @@
   /** By id, of those that have said that they are about to leave. */
   readonly #leavesAtMs = new Map<string, number>()
   readonly #cutUntilMs = new Map<string, number>()
-  readonly #muted = new Set<string>()
+  readonly #notAnnouncing = new Set<string>()
   readonly port: FaultyPort
   readonly #clockRate: number
   readonly #guardsCapacity: boolean
-  #faults: LinkFault[] = []
-  #lives = 0
+  #linkFaults: LinkFault[] = []
+  #startedUpstreams = 0
   #term = 0
   /** All leaders here are the same member. */
   readonly #jobClock = new JobClock()
@@ -59,12 +59,12 @@
     this.port = new FaultyPort({
       clock,
       findUpstream: (address) => this.#upstreams.get(address),
-      nextFault: (address) => this.#nextFault(address),
-      nextLinkMs: () => opts.linksMs[calls++ % opts.linksMs.length] ?? 1,
-      nextDelayMs: () => opts.lateMs,
+      nextFault: (address) => this.#nextLinkFault(address),
+      nextLinkDelayMs: () => opts.linksMs[calls++ % opts.linksMs.length] ?? 1,
+      nextLatenessMs: () => opts.lateMs,
     })
     this.commit({ type: 'apply-config', config: createFleetConfig() })
-    for (let at = 0; at < upstreamCount; at++) this.#revive(at)
+    for (let at = 0; at < upstreamCount; at++) this.#startUpstream(at)
     void this.#announceForever()
   }
 
@@ -106,23 +106,23 @@
     this.#leader.start()
   }
 
-  apply(trouble: FleetTrouble): void {
-    switch (trouble.kind) {
+  inject(fault: FleetFault): void {
+    switch (fault.kind) {
       case 'fault':
-        for (let call = 0; call < trouble.calls; call++) this.#faults.push(trouble.fault)
+        for (let call = 0; call < fault.calls; call++) this.#linkFaults.push(fault.fault)
         return
       case 'cut':
-        this.#cutUntilMs.set(addressOf(trouble.upstream), this.clock.monotonicMs() + trouble.forMs)
+        this.#cutUntilMs.set(addressOf(fault.upstream), this.clock.monotonicMs() + fault.forMs)
         return
       case 'crash':
-        this.#upstreams.get(addressOf(trouble.upstream))?.crash()
-        this.#revive(trouble.upstream)
+        this.#upstreams.get(addressOf(fault.upstream))?.crash()
+        this.#startUpstream(fault.upstream)
         return
       case 'new-leader':
-        this.elect(trouble.zombieMs)
+        this.elect(fault.zombieMs)
         return
       case 'cancel':
-        this.commit({ type: 'cancel-job', jobId: `job${trouble.job}` })
+        this.commit({ type: 'cancel-job', jobId: `job${fault.job}` })
     }
   }
 
@@ -144,11 +144,11 @@
   /** One upstream says that it goes, and is gone: nothing answers at its address any more. */
   leave(at: number): void {
     void this.#leader?.leave(this.upstreamIdOf(at))
-    this.lose(at)
+    this.crashForGood(at)
   }
 
   /** One upstream is gone for good, and says nothing of it. */
-  lose(at: number): void {
+  crashForGood(at: number): void {
     const address = addressOf(at)
     this.#upstreams.get(address)?.crash()
     this.#cutUntilMs.set(address, Infinity)
@@ -160,8 +160,8 @@
   }
 
   /** One upstream announces itself no longer, and answers as before. */
-  mute(at: number): void {
-    this.#muted.add(addressOf(at))
+  stopAnnouncing(at: number): void {
+    this.#notAnnouncing.add(addressOf(at))
   }
 
   upstreamIdOf(at: number): string {
@@ -172,8 +172,8 @@
     return Array.from({ length: upstreamCount }, (_, at) => this.upstreamIdOf(at))
   }
 
-  calm(): void {
-    this.#faults = []
+  healLinks(): void {
+    this.#linkFaults = []
     this.#cutUntilMs.clear()
   }
 
@@ -183,25 +183,25 @@
     return Left(new NettlespurError('not-leader', 'another leads'))
   }
 
-  #nextFault(address: string): LinkFault {
+  #nextLinkFault(address: string): LinkFault {
     if (this.#isCut(address)) return 'silent'
-    return this.#faults.shift() ?? 'none'
+    return this.#linkFaults.shift() ?? 'none'
   }
 
   #isCut(address: string): boolean {
     return (this.#cutUntilMs.get(address) ?? 0) > this.clock.monotonicMs()
   }
 
-  #revive(at: number): void {
-    this.#lives += 1
+  #startUpstream(at: number): void {
+    this.#startedUpstreams += 1
     const address = addressOf(at)
     const { clock, ledger } = this
-    const upstreamId = `life${this.#lives}`
+    const upstreamId = `life${this.#startedUpstreams}`
     const clockRate = this.#clockRate
     const onCrashingRun = (): void => {
       this.#upstreams.get(address)?.crash()
-      clock.setTimer(reviveMs, () => {
-        this.#revive(at)
+      clock.setTimer(restartDelayMs, () => {
+        this.#startUpstream(at)
       })
     }
     this.#upstreams.set(
@@ -226,7 +226,7 @@
   }
 
   async #announce({ upstreamId, address, clockMs, accelerators }: FakeUpstream): Promise<void> {
-    if (this.#isCut(address) || this.#muted.has(address)) return
+    if (this.#isCut(address) || this.#notAnnouncing.has(address)) return
     if (this.#upstreams.get(address)?.isUp !== true) return
     const leavesAtMs = this.#leavesAtMs.get(upstreamId)
     this.#sequence += 1
--- a/batch/service/__utils__/fakeMember.ts
+++ b/batch/service/__utils__/fakeMember.ts
@@ -21,7 +21,7 @@
   readonly submitted: string[]
   view: LeaderView
   /** How often it was asked who leads. */
-  located: number
+  locateCalls: number
   /** What a submission or an announcement ends in: by default it is taken. */
   answer: () => Promise<void>
   /** Jobs whose state was asked for here. */
@@ -34,15 +34,15 @@
 export async function startFakeMember(): Promise<FakeMember> {
   const member = {
     submitted: [] as string[],
-    located: 0,
+    locateCalls: 0,
     view: { term: 0, memberAddresses: [] } as LeaderView,
     answer: () => Promise.resolve(),
-    ...createStates(),
+    ...createStateQueries(),
   }
   const api = new FakeApi(member)
   const router = createBatchRouter(api, {
     locateLeader: () => {
-      member.located += 1
+      member.locateCalls += 1
       return member.view
     },
   })
@@ -57,14 +57,14 @@
 export function createLocalApi(submit: () => Promise<null>): BatchApi {
   return new FakeApi({
     submitted: [],
-    ...createStates(),
+    ...createStateQueries(),
     answer: async () => {
       await submit()
     },
   })
 }
 
-function createStates(): Pick<FakeMember, 'asked' | 'answerState'> {
+function createStateQueries(): Pick<FakeMember, 'asked' | 'answerState'> {
   return { asked: [], answerState: () => Promise.resolve('completed') }
 }
 
--- a/batch/service/__utils__/faultyPort.ts
+++ b/batch/service/__utils__/faultyPort.ts
@@ -29,7 +29,7 @@
   | 'invalid-starts'
 
 /** Over all upstreams; each is asked about ten times a second while rows are unread. */
-const hiddenLooks = 150
+const holdsPerHiddenPhase = 150
 
 export interface FaultyPortOptions {
   clock: Clock
@@ -37,16 +37,16 @@
   findUpstream: (address: string) => FakeUpstream | undefined
   nextFault: (address: string) => LinkFault
   /** One way; calls on different connections overtake each other. */
-  nextLinkMs: () => number
+  nextLinkDelayMs: () => number
   /** How much later a late order is carried out. */
-  nextDelayMs: () => number
+  nextLatenessMs: () => number
 }
 
 export class FaultyPort extends UpstreamPort {
   /** Looks so far: an upstream at rest is not to be asked all the time. */
-  looks = 0
+  holdCalls = 0
   /** Starts so far, refused ones included. */
-  starts = 0
+  startCalls = 0
   readonly #opts: FaultyPortOptions
 
   constructor(opts: FaultyPortOptions) {
@@ -55,7 +55,7 @@
   }
 
   override start(to: UpstreamTarget, order: StartOrder, timeoutMs: number): Promise<StartAnswer> {
-    this.starts += 1
+    this.startCalls += 1
     return this.#call(to, timeoutMs, (upstream, fault) => {
       const { clockMs } = upstream
       if (fault === 'invalid-starts') {
@@ -70,12 +70,13 @@
   }
 
   override hold(to: UpstreamTarget, order: HoldOrder, timeoutMs: number): Promise<HoldAnswer> {
-    this.looks += 1
-    const turn = this.looks
+    this.holdCalls += 1
+    const callNumber = this.holdCalls
     return this.#call(to, timeoutMs, async (upstream, fault) => {
       const answer = await upstream.hold(order)
-      if (fault === 'unread-rows') return leaveOutRows(answer, turn)
-      if (fault === 'hidden-rows') return leaveOutRows(answer, Math.floor(turn / hiddenLooks))
+      if (fault === 'unread-rows') return leaveOutRows(answer, callNumber)
+      if (fault === 'hidden-rows')
+        return leaveOutRows(answer, Math.floor(callNumber / holdsPerHiddenPhase))
       return answer
     })
   }
@@ -85,9 +86,9 @@
     timeoutMs: number,
     run: (upstream: FakeUpstream, fault: LinkFault) => Promise<T>,
   ): Promise<T | { type: 'gone'; clockMs: undefined }> {
-    const { clock, findUpstream, nextFault, nextLinkMs, nextDelayMs } = this.#opts
+    const { clock, findUpstream, nextFault, nextLinkDelayMs, nextLatenessMs } = this.#opts
     const fault = nextFault(address)
-    await clock.sleep(nextLinkMs())
+    await clock.sleep(nextLinkDelayMs())
     if (fault === 'refused') throw new NettlespurError('unreachable', 'refused')
     const carryOut = async (): Promise<T | { type: 'gone'; clockMs: undefined }> => {
       const upstream = findUpstream(address)
@@ -97,12 +98,12 @@
     }
     if (['none', 'unread-rows', 'hidden-rows', 'invalid-starts'].includes(fault)) {
       const answer = await carryOut()
-      await clock.sleep(nextLinkMs())
+      await clock.sleep(nextLinkDelayMs())
       return answer
     }
     if (fault === 'answer-lost') await carryOut()
     if (fault === 'late') {
-      clock.setTimer(nextDelayMs(), () => {
+      clock.setTimer(nextLatenessMs(), () => {
         carryOut().catch(() => undefined)
       })
     }
@@ -115,9 +116,9 @@
  * Which rows are left changes with the turn: each time, so that a run is now listed and now not, or slowly, so that it
  * is hidden for seconds.
  */
-function leaveOutRows(answer: HoldAnswer, turn: number): HoldAnswer {
+function leaveOutRows(answer: HoldAnswer, phase: number): HoldAnswer {
   if (answer.type !== 'held') return answer
-  const isRead = (_: unknown, at: number): boolean => (at + turn) % 2 === 0
+  const isRead = (_: unknown, at: number): boolean => (at + phase) % 2 === 0
   const running = answer.running.filter(isRead)
   const finished = answer.finished.filter(isRead)
   const listed = answer.running.length + answer.finished.length
--- a/batch/service/__utils__/fleetOptions.ts
+++ b/batch/service/__utils__/fleetOptions.ts
@@ -2,7 +2,7 @@
 import type { RunRef } from '@nettlespur/batch.model'
 import type { LinkFault } from './faultyPort.js'
 
-export type FleetTrouble =
+export type FleetFault =
   | { kind: 'fault'; fault: LinkFault; calls: number }
   | { kind: 'cut'; upstream: number; forMs: number }
   | { kind: 'crash'; upstream: number }
--- a/batch/service/__utils__/group/calmPromise.ts
+++ b/batch/service/__utils__/group/checkRecovery.ts
@@ -6,60 +6,60 @@
 
 const { electionTimeoutMs } = groupTimings.raft
 /** The longest silence before a member stands, and the longest it then waits for votes. */
-const roundMs = electionTimeoutMs * 1.5 + electionTimeoutMs
+const electionRoundMs = electionTimeoutMs * 1.5 + electionTimeoutMs
 /** Rounds in which nobody wins, as several stand at once or hear an old leader's last message. */
-const rounds = 3
+const electionRounds = 3
 /** A leader whose first read failed reads again after half a second. */
-const retryMs = electionTimeoutMs + 500
+const firstReadRetryMs = electionTimeoutMs + 500
 /** All in all 6.5 s, half of what the platform gives from its last fault to its first question. */
-export const readyMs = rounds * roundMs + retryMs
+export const readyMs = electionRounds * electionRoundMs + firstReadRetryMs
 
 /** What an entry waits for a call to the leader. */
-const answerMs = 700
-const lookEveryMs = 50
-const staysMs = 30_000
+const readTimeoutMs = 700
+const pollEveryMs = 50
+const observationMs = 30_000
 const burstReads = 150
-const readsEach = 3
+const readsPerCheck = 3
 
-export interface CalmOutcome {
+export interface RecoveryOutcome {
   /** Until all members named the leader and it answered a read. */
   readonly readyAfterMs: number | undefined
 }
 
 /** To be called when the troubles have just ended; faults go to the group's list. */
-export async function checkCalm(group: ControlGroup): Promise<CalmOutcome> {
+export async function checkRecovery(group: ControlGroup): Promise<RecoveryOutcome> {
   const startMs = group.clock.monotonicMs()
-  const passedMs = (): number => group.clock.monotonicMs() - startMs
+  const elapsedMs = (): number => group.clock.monotonicMs() - startMs
   let readyAfterMs: number | undefined
-  while (readyAfterMs === undefined && passedMs() < readyMs) {
-    await group.clock.advance(lookEveryMs)
+  while (readyAfterMs === undefined && elapsedMs() < readyMs) {
+    await group.clock.advance(pollEveryMs)
     if (listDisagreeing(group).length > 0) continue
-    const lookedMs = passedMs()
-    if ((await read(group, 1)).length === 0) readyAfterMs = lookedMs
+    const agreedAfterMs = elapsedMs()
+    if ((await readRandomJobs(group, 1)).length === 0) readyAfterMs = agreedAfterMs
   }
   if (readyAfterMs === undefined) {
-    group.faults.push(`not ready ${readyMs} ms after the last trouble`)
+    group.violations.push(`not ready ${readyMs} ms after the last trouble`)
     return { readyAfterMs }
   }
-  await group.clock.advance(Math.max(0, readyMs - passedMs()))
+  await group.clock.advance(Math.max(0, readyMs - elapsedMs()))
   await checkOnce(group, burstReads)
-  const endMs = passedMs() + staysMs
-  while (passedMs() < endMs && group.faults.length === 0) await checkOnce(group, readsEach)
+  const endMs = elapsedMs() + observationMs
+  while (elapsedMs() < endMs && group.violations.length === 0) await checkOnce(group, readsPerCheck)
   group.stopSubmitting()
-  await checkAccepted(group)
+  await checkAcceptedJobs(group)
   return { readyAfterMs }
 }
 
-async function checkOnce(group: ControlGroup, reads: number): Promise<void> {
-  group.faults.push(...listDisagreeing(group), ...(await read(group, reads)))
+async function checkOnce(group: ControlGroup, readCount: number): Promise<void> {
+  group.violations.push(...listDisagreeing(group), ...(await readRandomJobs(group, readCount)))
 }
 
 /** Members that do not name the leader of the highest term. */
-function listDisagreeing({ leader, live }: ControlGroup): string[] {
-  const term = Math.max(...live.map(({ node }) => node?.raft.describe().term ?? 0))
+function listDisagreeing({ leader, liveMembers }: ControlGroup): string[] {
+  const term = Math.max(...liveMembers.map(({ node }) => node?.raft.describe().term ?? 0))
   const address = leader?.member.peerAddress
   if (address === undefined) return ['nobody leads']
-  return live.flatMap(({ member, node }) => {
+  return liveMembers.flatMap(({ member, node }) => {
     const view = node?.locateLeader()
     const agrees = view?.leaderAddress === address && view.term === term
     return agrees ? [] : [`${member.memberId} names ${JSON.stringify(view)}, not ${address}`]
@@ -67,18 +67,18 @@
 }
 
 /** Reads that were not answered in time. */
-async function read(group: ControlGroup, count: number): Promise<string[]> {
-  const { accepted, random } = group
+async function readRandomJobs(group: ControlGroup, count: number): Promise<string[]> {
+  const { acceptedJobIds, random } = group
   const jobIds = Array.from(
     { length: count },
-    () => accepted[Math.floor(random() * accepted.length)] ?? '',
+    () => acceptedJobIds[Math.floor(random() * acceptedJobIds.length)] ?? '',
   )
   return readJobs(group, jobIds)
 }
 
-async function checkAccepted(group: ControlGroup): Promise<void> {
-  const faults = await readJobs(group, group.accepted)
-  group.faults.push(...faults.slice(0, 3))
+async function checkAcceptedJobs(group: ControlGroup): Promise<void> {
+  const violations = await readJobs(group, group.acceptedJobIds)
+  group.violations.push(...violations.slice(0, 3))
 }
 
 async function readJobs(group: ControlGroup, jobIds: readonly string[]): Promise<string[]> {
@@ -86,13 +86,13 @@
   const node = group.leader?.node
   for (const jobId of waiting.keys()) {
     void node?.calls
-      .getJobState(group.callOf(jobId))
+      .getJobState(group.createJobCall(jobId))
       .run()
       .then((outcome) => {
         if (outcome.isRight()) waiting.delete(jobId)
         else waiting.set(jobId, String(outcome.extract()))
       })
   }
-  await group.clock.advance(answerMs)
+  await group.clock.advance(readTimeoutMs)
   return [...waiting].map(([jobId, reason]) => `${jobId}: ${reason}`)
 }
--- a/batch/service/__utils__/group/controlGroup.ts
+++ b/batch/service/__utils__/group/controlGroup.ts
@@ -20,10 +20,10 @@
 const foundersCount = 3
 const membersCount = 5
 const dataCentres = 3
-const foundedMs = 12_000
+const bootstrapMs = 12_000
 const submitEveryMs = 200
 /** In calm, so that many schedules can be played. */
-const calmSubmitEveryMs = 1500
+const recoverySubmitEveryMs = 1500
 
 export class ControlGroup {
   readonly clock = new ManualClock(new Date('2026-01-01T00:00:00Z'))
@@ -31,13 +31,13 @@
   readonly links: MemberLinks
   readonly members: GroupMember[] = []
   /** Jobs that were accepted. */
-  readonly accepted: string[] = []
+  readonly acceptedJobIds: string[] = []
   /** Broken promises, in words. */
-  readonly faults: string[] = []
-  readonly lines: string[] = []
-  #jobs = 0
+  readonly violations: string[] = []
+  readonly trace: string[] = []
+  #submittedJobs = 0
   #submitEveryMs = submitEveryMs
-  #submits = true
+  #isSubmitting = true
 
   constructor(seed: number) {
     this.random = createSeededRandom(seed)
@@ -45,13 +45,13 @@
   }
 
   /** A group that has a configuration, and five voters. */
-  static async found(seed: number): Promise<ControlGroup> {
+  static async bootstrap(seed: number): Promise<ControlGroup> {
     const group = new ControlGroup(seed)
-    const founders = Array.from({ length: foundersCount }, (_, at) => describeMember(at + 1))
+    const founders = Array.from({ length: foundersCount }, (_, at) => createMember(at + 1))
     for (let number = 1; number <= membersCount; number++) {
       group.addMember(number <= foundersCount ? founders : [])
     }
-    await group.clock.advance(foundedMs)
+    await group.clock.advance(bootstrapMs)
     void group.leader?.node?.calls.applyConfig(createFleetConfig()).run()
     void group.#submitForever()
     await group.clock.advance(1000)
@@ -60,7 +60,7 @@
 
   /** Starts a machine with an empty disk under the next number. */
   addMember(founders: readonly Member[] = []): void {
-    const member = describeMember(this.members.length + 1)
+    const member = createMember(this.members.length + 1)
     const { clock, random, links } = this
     const added = new GroupMember({
       member,
@@ -84,7 +84,7 @@
   }
 
   /** Those that have a process. */
-  get live(): GroupMember[] {
+  get liveMembers(): GroupMember[] {
     return this.members.filter(({ isUp }) => isUp)
   }
 
@@ -100,24 +100,24 @@
   }
 
   /** Fewer jobs come in from now on. */
-  calmDown(): void {
-    this.#submitEveryMs = calmSubmitEveryMs
+  submitLessOften(): void {
+    this.#submitEveryMs = recoverySubmitEveryMs
   }
 
   stopSubmitting(): void {
-    this.#submits = false
+    this.#isSubmitting = false
   }
 
-  callOf(jobId: string) {
+  createJobCall(jobId: string) {
     return { host: 'host', path: `/queue0/${jobId}`, jobId }
   }
 
   note(line: string): void {
-    this.lines.push(`${Math.round(this.clock.monotonicMs())} ${line}`)
+    this.trace.push(`${Math.round(this.clock.monotonicMs())} ${line}`)
   }
 
   async #submitForever(): Promise<void> {
-    while (this.#submits) {
+    while (this.#isSubmitting) {
       void this.#submit()
       await this.clock.sleep(this.#submitEveryMs)
     }
@@ -125,12 +125,15 @@
 
   async #submit(): Promise<void> {
     const { leader } = this
-    const life = leader?.life
-    if (life?.node === undefined) return
-    const jobId = `j${this.#jobs++}`
+    const leaderProcess = leader?.process
+    if (leaderProcess?.node === undefined) return
+    const jobId = `j${this.#submittedJobs++}`
     const request = createJob(jobId, {})
-    const outcome = await life.node.calls.submitJob({ ...this.callOf(jobId), request }).run()
-    if (outcome.isRight() && !life.hasEnded && !life.clock.isPaused) this.accepted.push(jobId)
+    const outcome = await leaderProcess.node.calls
+      .submitJob({ ...this.createJobCall(jobId), request })
+      .run()
+    if (outcome.isRight() && !leaderProcess.hasEnded && !leaderProcess.clock.isPaused)
+      this.acceptedJobIds.push(jobId)
   }
 
   #createLogger(memberId: string): Logger {
@@ -142,7 +145,7 @@
   }
 }
 
-function describeMember(number: number): Member {
+function createMember(number: number): Member {
   const peerAddress = `10.0.0.${number}:7000`
   return { memberId: `c${number}`, peerAddress, dataCentre: `dc${number % dataCentres}` }
 }
--- a/batch/service/__utils__/group/diskState.ts
+++ b/batch/service/__utils__/group/diskState.ts
@@ -11,7 +11,7 @@
   isFull = false
   readonly #clock: ManualClock
   readonly #random: () => number
-  #stalled: (() => void)[] | undefined
+  #stalledCalls: (() => void)[] | undefined
 
   constructor(clock: ManualClock, random: () => number) {
     this.#clock = clock
@@ -19,19 +19,19 @@
   }
 
   get isStalled(): boolean {
-    return this.#stalled !== undefined
+    return this.#stalledCalls !== undefined
   }
 
   stall(): void {
-    this.#stalled ??= []
+    this.#stalledCalls ??= []
   }
 
   heal(): void {
     this.isSlow = false
     this.isFull = false
-    const stalled = this.#stalled ?? []
-    this.#stalled = undefined
-    for (const goOn of stalled) goOn()
+    const stalled = this.#stalledCalls ?? []
+    this.#stalledCalls = undefined
+    for (const resume of stalled) resume()
   }
 
   /** The time a sync takes, and for how long the disk hangs. */
@@ -39,13 +39,13 @@
     const { shortest, longest } = syncMs
     const tookMs = shortest + this.#random() * (longest - shortest)
     await this.#clock.sleep(tookMs * (this.isSlow ? slowFactor : 1))
-    await this.pass()
+    await this.waitWhileStalled()
   }
 
   /** For how long the disk hangs. */
-  async pass(): Promise<void> {
-    while (this.#stalled !== undefined) {
-      const waiting = this.#stalled
+  async waitWhileStalled(): Promise<void> {
+    while (this.#stalledCalls !== undefined) {
+      const waiting = this.#stalledCalls
       await new Promise<void>((resolve) => {
         waiting.push(resolve)
       })
--- a/batch/service/__utils__/group/groupTrouble.ts
+++ b/batch/service/__utils__/group/groupFaults.ts
@@ -2,7 +2,7 @@
 import type { ControlGroup } from './controlGroup.js'
 import type { GroupMember } from './groupMember.js'
 
-export const troubleKinds = [
+export const groupFaultKinds = [
   'kill',
   'kill-all',
   'power',
@@ -24,31 +24,32 @@
   'stop-in-turn',
   'transfer',
 ] as const
-export type TroubleKind = (typeof troubleKinds)[number]
+export type GroupFaultKind = (typeof groupFaultKinds)[number]
 
 /** The tolerance of the deployments: so many members may be lost with what they hold. */
-const lossesMax = 2
-const leaderShare = 0.45
+const maxLostMembers = 2
+const leaderTargetShare = 0.45
 /** What a process is given to stop. */
-const stopMs = 6000
-const lookEveryMs = 50
-const downMs = { shortest: 100, longest: 4000 }
+const stopTimeoutMs = 6000
+const pollEveryMs = 50
+const faultDurationMs = { shortest: 100, longest: 4000 }
 
-export class GroupTrouble {
+export class GroupFaults {
   readonly #group: ControlGroup
-  #losses = 0
+  #lostMembers = 0
   #stopping = 0
-  #isCalm = false
+  #isHealed = false
 
   constructor(group: ControlGroup) {
     this.#group = group
   }
 
-  apply(kind: TroubleKind): void {
-    if (this.#isCalm) return
+  inject(kind: GroupFaultKind): void {
+    if (this.#isHealed) return
     const { members, links, clock, random } = this.#group
     const target = this.#pickTarget()
-    const forMs = downMs.shortest + random() * (downMs.longest - downMs.shortest)
+    const forMs =
+      faultDurationMs.shortest + random() * (faultDurationMs.longest - faultDurationMs.shortest)
     this.#group.note(`TROUBLE ${kind} ${target.member.memberId} ${Math.round(forMs)}`)
     const later = (run: () => void): void => void clock.setTimer(forMs, run)
     const others = members.filter((member) => member !== target)
@@ -72,13 +73,13 @@
         }
         return
       case 'lose-disk':
-        if (this.#mayLose(target)) target.loseDisk()
+        if (this.#tryCountLoss(target)) target.loseDisk()
         later(() => {
           target.start()
         })
         return
       case 'replace':
-        if (!this.#mayLose(target)) return
+        if (!this.#tryCountLoss(target)) return
         target.kill()
         target.isRemoved = true
         this.#group.addMember()
@@ -93,17 +94,17 @@
       case 'isolate':
       case 'deafen':
         for (const { member } of others) {
-          links.cutWay(member.memberId, target.member.memberId)
-          if (kind === 'isolate') links.cutWay(target.member.memberId, member.memberId)
+          links.cutOneWay(member.memberId, target.member.memberId)
+          if (kind === 'isolate') links.cutOneWay(target.member.memberId, member.memberId)
         }
         this.#healLinks(forMs)
         return
       case 'cut-way':
-        links.cutWay(target.member.memberId, this.#pickTarget().member.memberId)
+        links.cutOneWay(target.member.memberId, this.#pickTarget().member.memberId)
         this.#healLinks(forMs)
         return
       case 'halves':
-        this.#cutHalves()
+        this.#partition()
         this.#healLinks(forMs)
         return
       case 'lossy':
@@ -142,19 +143,19 @@
   }
 
   /** Ends all troubles: what was not removed for good is back, once those that are stopping have stopped. */
-  async calm(): Promise<void> {
+  async heal(): Promise<void> {
     const { members, links, clock } = this.#group
-    this.#isCalm = true
+    this.#isHealed = true
     links.heal()
     for (const member of members) {
       member.disk.heal()
       member.resume()
     }
-    const endMs = clock.monotonicMs() + stopMs
-    while (this.#stopping > 0 && clock.monotonicMs() < endMs) await clock.advance(lookEveryMs)
-    if (this.#stopping > 0) this.#group.faults.push(`${this.#stopping} do not stop`)
+    const endMs = clock.monotonicMs() + stopTimeoutMs
+    while (this.#stopping > 0 && clock.monotonicMs() < endMs) await clock.advance(pollEveryMs)
+    if (this.#stopping > 0) this.#group.violations.push(`${this.#stopping} do not stop`)
     for (const member of members) member.start()
-    this.#group.calmDown()
+    this.#group.submitLessOften()
     this.#group.note('CALM')
   }
 
@@ -162,19 +163,19 @@
     const { members, leader, random } = this.#group
     const present = members.filter(({ isRemoved }) => !isRemoved)
     const picked = present[Math.floor(random() * present.length)]
-    const target = random() < leaderShare ? (leader ?? picked) : picked
+    const target = random() < leaderTargetShare ? (leader ?? picked) : picked
     if (target === undefined) throw new Error('a group without members')
     return target
   }
 
-  #mayLose(target: GroupMember): boolean {
-    if (this.#losses === lossesMax || target.isRemoved) return false
-    this.#losses += 1
+  #tryCountLoss(target: GroupMember): boolean {
+    if (this.#lostMembers === maxLostMembers || target.isRemoved) return false
+    this.#lostMembers += 1
     return true
   }
 
   #stop(member: GroupMember, downForMs: number): void {
-    if (this.#isCalm || !member.isUp) return
+    if (this.#isHealed || !member.isUp) return
     this.#stopping += 1
     void member.stop().then(() => {
       this.#stopping -= 1
@@ -184,12 +185,13 @@
     })
   }
 
-  #cutHalves(): void {
+  #partition(): void {
     const { members, links, random } = this.#group
     const sides = members.map(() => random() < 0.5)
     members.forEach((one, at) => {
       members.forEach((other, otherAt) => {
-        if (sides[at] !== sides[otherAt]) links.cutWay(one.member.memberId, other.member.memberId)
+        if (sides[at] !== sides[otherAt])
+          links.cutOneWay(one.member.memberId, other.member.memberId)
       })
     })
   }
--- a/batch/service/__utils__/group/groupMember.ts
+++ b/batch/service/__utils__/group/groupMember.ts
@@ -10,14 +10,14 @@
 import { DiskState } from './diskState.js'
 import { MemberClock } from './memberClock.js'
 import { MemberFiles } from './memberFiles.js'
-import type { MemberLife, MemberLinks } from './memberLinks.js'
+import type { MemberProcess, MemberLinks } from './memberLinks.js'
 import { MemberTransport } from './memberTransport.js'
-import { SilentPort } from './silentPort.js'
+import { UnreachablePort } from './unreachablePort.js'
 
 /** As the platform does with a process that has ended by itself. */
 const restartMs = 300
 /** How often an instance that is no member asks to be added. */
-const askEveryMs = 300
+const joinEveryMs = 300
 
 /** So small that snapshots are taken and installed all the time. */
 const limits = { snapshotEveryEntries: 40, keepEntries: 10, snapshotChunkBytes: 4096 }
@@ -34,7 +34,7 @@
   findLeaderId: () => string | undefined
 }
 
-interface Life extends MemberLife {
+interface StartedProcess extends MemberProcess {
   node: BatchNode | undefined
   readonly files: MemberFiles
   /** Resolves when the process is killed. */
@@ -49,7 +49,7 @@
   readonly #opts: GroupMemberOptions
   #founders: readonly Member[]
   #files = new MemoryFileSystem()
-  #life: Life | undefined
+  #process: StartedProcess | undefined
 
   constructor(opts: GroupMemberOptions) {
     this.#opts = opts
@@ -62,51 +62,59 @@
   }
 
   get isUp(): boolean {
-    return this.#life !== undefined
+    return this.#process !== undefined
   }
 
   get isPaused(): boolean {
-    return this.#life?.clock.isPaused === true
+    return this.#process?.clock.isPaused === true
   }
 
   /** Undefined while the process is down or about to start. */
   get node(): BatchNode | undefined {
-    return this.#life?.node
+    return this.#process?.node
   }
 
-  get life(): MemberLife | undefined {
-    return this.#life
+  get process(): MemberProcess | undefined {
+    return this.#process
   }
 
   start(): void {
-    if (this.#life !== undefined || this.isRemoved) return
-    const { member, clock: world, links, logger } = this.#opts
-    const clock = new MemberClock(world)
+    if (this.#process !== undefined || this.isRemoved) return
+    const { member, clock: groupClock, links, logger } = this.#opts
+    const clock = new MemberClock(groupClock)
     const files = new MemberFiles({ files: this.#files, disk: this.disk, clock })
     const { promise: ending, resolve: end } = createPromise()
     const { memberId } = member
-    const life: Life = { memberId, clock, files, node: undefined, hasEnded: false, ending, end }
-    this.#life = life
-    links.lives.set(member.memberId, life)
-    this.#open(life).catch((thrown: unknown) => {
-      if (life.hasEnded) return
+    const started: StartedProcess = {
+      memberId,
+      clock,
+      files,
+      node: undefined,
+      hasEnded: false,
+      ending,
+      end,
+    }
+    this.#process = started
+    links.processes.set(member.memberId, started)
+    this.#open(started).catch((thrown: unknown) => {
+      if (started.hasEnded) return
       logger.error({ event: 'process.ended', reason: String(thrown) })
       this.kill()
-      world.setTimer(restartMs, () => {
+      groupClock.setTimer(restartMs, () => {
         this.start()
       })
     })
   }
 
   kill(): void {
-    const life = this.#life
-    if (life === undefined) return
-    life.hasEnded = true
-    life.files.end()
-    life.end()
-    life.clock.pause('freeze')
-    this.#life = undefined
-    this.#opts.links.lives.delete(life.memberId)
+    const current = this.#process
+    if (current === undefined) return
+    current.hasEnded = true
+    current.files.end()
+    current.end()
+    current.clock.pause('freeze')
+    this.#process = undefined
+    this.#opts.links.processes.delete(current.memberId)
     this.#files = this.#files.kill()
   }
 
@@ -125,23 +133,23 @@
 
   /** Hands the leadership over first. Resolves once the process has ended, however it did. */
   async stop(): Promise<void> {
-    const life = this.#life
-    if (life === undefined) return
-    await Promise.race([life.ending, this.#stopNode(life)])
-    if (this.#life === life) this.kill()
+    const current = this.#process
+    if (current === undefined) return
+    await Promise.race([current.ending, this.#stopNode(current)])
+    if (this.#process === current) this.kill()
   }
 
   pause(kind: 'freeze' | 'suspend'): void {
-    this.#life?.clock.pause(kind)
+    this.#process?.clock.pause(kind)
   }
 
   resume(): void {
-    this.#life?.clock.resume()
+    this.#process?.clock.resume()
   }
 
-  async #open(life: Life): Promise<void> {
+  async #open(started: StartedProcess): Promise<void> {
     const { member, links, logger, timings, random } = this.#opts
-    const { clock, files } = life
+    const { clock, files } = started
     const store = await FileLogStore.open({
       folder: '/log',
       clock,
@@ -156,19 +164,19 @@
       logger,
       metrics: new MetricsRegistry(),
       store,
-      transport: new MemberTransport(links, life),
-      port: new SilentPort(),
+      transport: new MemberTransport(links, started),
+      port: new UnreachablePort(),
       timings,
       limits,
       random,
     })
-    if (life.hasEnded) return
-    life.node = node
-    void this.#keepMembership(life, node)
+    if (started.hasEnded) return
+    started.node = node
+    void this.#keepMembership(started, node)
   }
 
   /** As the processes do, which end also where a step of it fails. */
-  async #stopNode({ node }: Life): Promise<void> {
+  async #stopNode({ node }: StartedProcess): Promise<void> {
     try {
       await node?.raft.transferLeadership()
       await node?.stop()
@@ -177,15 +185,15 @@
     }
   }
 
-  async #keepMembership(life: Life, node: BatchNode): Promise<void> {
+  async #keepMembership(started: StartedProcess, node: BatchNode): Promise<void> {
     const { links, findLeaderId, member } = this.#opts
     for (;;) {
       const leaderId = findLeaderId()
       if (!node.isMember && leaderId !== undefined) {
-        const joining = links.call(life, leaderId, (leader) => unwrap(leader.calls.join(member)))
+        const joining = links.call(started, leaderId, (leader) => unwrap(leader.calls.join(member)))
         await joining.catch(() => undefined)
       }
-      await life.clock.sleep(askEveryMs)
+      await started.clock.sleep(joinEveryMs)
     }
   }
 }
--- a/batch/service/__utils__/group/index.ts
+++ b/batch/service/__utils__/group/index.ts
@@ -1,5 +1,5 @@
 /** A group of control under troubles, on a manual clock. */
-export { checkCalm, readyMs } from './calmPromise.js'
+export { checkRecovery, readyMs } from './checkRecovery.js'
 export { ControlGroup, groupTimings } from './controlGroup.js'
-export { troubleKinds, type TroubleKind } from './groupTrouble.js'
-export { playGroup, type PlayedGroup } from './playGroup.js'
+export { groupFaultKinds, type GroupFaultKind } from './groupFaults.js'
+export { simulateGroup, type GroupSimulation } from './simulateGroup.js'
--- a/batch/service/__utils__/group/memberClock.ts
+++ b/batch/service/__utils__/group/memberClock.ts
@@ -10,14 +10,14 @@
 export type PauseKind = 'freeze' | 'suspend'
 
 export class MemberClock implements Clock {
-  readonly #world: ManualClock
+  readonly #groupClock: ManualClock
   /** Of the time of the world, how much this process has not seen. */
   #missedMs = 0
   #paused: { readonly kind: PauseKind; readonly sinceMs: number } | undefined
-  #held: (() => void)[] = []
+  #deferred: (() => void)[] = []
 
-  constructor(world: ManualClock) {
-    this.#world = world
+  constructor(groupClock: ManualClock) {
+    this.#groupClock = groupClock
   }
 
   get isPaused(): boolean {
@@ -25,13 +25,13 @@
   }
 
   now(): Date {
-    return this.#world.now()
+    return this.#groupClock.now()
   }
 
   monotonicMs(): number {
-    const worldMs =
-      this.#paused?.kind === 'suspend' ? this.#paused.sinceMs : this.#world.monotonicMs()
-    return worldMs - this.#missedMs
+    const groupMs =
+      this.#paused?.kind === 'suspend' ? this.#paused.sinceMs : this.#groupClock.monotonicMs()
+    return groupMs - this.#missedMs
   }
 
   setTimer(delayMs: number, run: () => void): Timer {
@@ -41,11 +41,11 @@
     const fire = (): void => {
       if (cancelled) return
       const leftMs = dueMs - this.monotonicMs()
-      if (this.#paused !== undefined) this.#held.push(fire)
-      else if (leftMs > roundingMs) timer = this.#world.setTimer(leftMs, fire)
+      if (this.#paused !== undefined) this.#deferred.push(fire)
+      else if (leftMs > roundingMs) timer = this.#groupClock.setTimer(leftMs, fire)
       else run()
     }
-    timer = this.#world.setTimer(Math.max(delayMs, roundingMs), fire)
+    timer = this.#groupClock.setTimer(Math.max(delayMs, roundingMs), fire)
     return {
       cancel: () => {
         cancelled = true
@@ -59,24 +59,24 @@
   }
 
   /** Resolves at once, or when the process goes on. */
-  waitUntilAwake(): Promise<void> {
+  waitUntilResumed(): Promise<void> {
     if (this.#paused === undefined) return Promise.resolve()
     return new Promise((resolve) => {
-      this.#held.push(resolve)
+      this.#deferred.push(resolve)
     })
   }
 
   pause(kind: PauseKind): void {
-    this.#paused ??= { kind, sinceMs: this.#world.monotonicMs() }
+    this.#paused ??= { kind, sinceMs: this.#groupClock.monotonicMs() }
   }
 
   resume(): void {
     const paused = this.#paused
     if (paused === undefined) return
-    if (paused.kind === 'suspend') this.#missedMs += this.#world.monotonicMs() - paused.sinceMs
+    if (paused.kind === 'suspend') this.#missedMs += this.#groupClock.monotonicMs() - paused.sinceMs
     this.#paused = undefined
-    const held = this.#held
-    this.#held = []
-    for (const goOn of held) goOn()
+    const deferred = this.#deferred
+    this.#deferred = []
+    for (const run of deferred) run()
   }
 }
--- a/batch/service/__utils__/group/memberFiles.ts
+++ b/batch/service/__utils__/group/memberFiles.ts
@@ -25,12 +25,12 @@
   }
 
   async read<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
-    await this.#opts.disk.pass()
+    await this.#opts.disk.waitWhileStalled()
     return this.#finish(run)
   }
 
   async write<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
-    await this.#opts.disk.pass()
+    await this.#opts.disk.waitWhileStalled()
     if (this.#opts.disk.isFull) throw Object.assign(new Error('no space left'), { code: 'ENOSPC' })
     return this.#finish(run)
   }
@@ -83,7 +83,7 @@
   async #finish<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
     if (this.#hasEnded) await new Promise<never>(() => undefined)
     const result = await run(this.#opts.files)
-    await this.#opts.clock.waitUntilAwake()
+    await this.#opts.clock.waitUntilResumed()
     return result
   }
 }
--- a/batch/service/__utils__/group/memberLinks.ts
+++ b/batch/service/__utils__/group/memberLinks.ts
@@ -7,12 +7,12 @@
 /** One way, over a few data centres. */
 const longestDelayMs = 8
 /** A packet that was lost is sent again after some hundred milliseconds. */
-const resendMs = { shortest: 200, longest: 700 }
+const retransmitMs = { shortest: 200, longest: 700 }
 /** Of the messages on a cut link, how many are still delivered once it is whole again. */
 const heldShare = 0.5
 
 /** One life of a member's process. */
-export interface MemberLife {
+export interface MemberProcess {
   readonly memberId: string
   readonly clock: MemberClock
   readonly node: BatchNode | undefined
@@ -20,12 +20,12 @@
 }
 
 export class MemberLinks {
-  readonly lives = new Map<string, MemberLife>()
+  readonly processes = new Map<string, MemberProcess>()
   /** Share of packets that are lost and sent again. */
   lossShare = 0
   /** Ways that are cut, as `from to`. */
-  readonly #cut = new Set<string>()
-  #waiting: (() => void)[] = []
+  readonly #cutDirections = new Set<string>()
+  #heldMessages: (() => void)[] = []
   readonly #clock: ManualClock
   readonly #random: () => number
   readonly #callTimeoutMs: number
@@ -36,20 +36,20 @@
     this.#callTimeoutMs = callTimeoutMs
   }
 
-  cutWay(from: string, to: string): void {
-    this.#cut.add(`${from} ${to}`)
+  cutOneWay(from: string, to: string): void {
+    this.#cutDirections.add(`${from} ${to}`)
   }
 
   heal(): void {
-    this.#cut.clear()
+    this.#cutDirections.clear()
     this.lossShare = 0
-    const waiting = this.#waiting
-    this.#waiting = []
-    for (const goOn of waiting) goOn()
+    const held = this.#heldMessages
+    this.#heldMessages = []
+    for (const deliver of held) deliver()
   }
 
   /** Errors: rejects with `unreachable` and `outcome-unknown`, and as `run` does. */
-  call<T>(from: MemberLife, to: string, run: (node: BatchNode) => Promise<T>): Promise<T> {
+  call<T>(from: MemberProcess, to: string, run: (node: BatchNode) => Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       const timer = from.clock.setTimer(this.#callTimeoutMs, () => {
         reject(new NettlespurError('outcome-unknown', `no answer of ${to}`))
@@ -74,36 +74,36 @@
   }
 
   async #exchange<T>(
-    from: MemberLife,
+    from: MemberProcess,
     to: string,
     run: (node: BatchNode) => Promise<T>,
   ): Promise<T> {
-    await this.#travel(from.memberId, to)
-    const life = this.lives.get(to)
-    if (life?.node === undefined) throw new NettlespurError('unreachable', `${to} is down`)
-    await life.clock.waitUntilAwake()
-    const [result] = await Promise.allSettled([run(life.node)])
-    await life.clock.waitUntilAwake()
+    await this.#transmit(from.memberId, to)
+    const target = this.processes.get(to)
+    if (target?.node === undefined) throw new NettlespurError('unreachable', `${to} is down`)
+    await target.clock.waitUntilResumed()
+    const [result] = await Promise.allSettled([run(target.node)])
+    await target.clock.waitUntilResumed()
     // What is never answered: either end is another process now.
-    if (life.hasEnded || from.hasEnded) await new Promise<never>(() => undefined)
-    await this.#travel(to, from.memberId)
-    await from.clock.waitUntilAwake()
+    if (target.hasEnded || from.hasEnded) await new Promise<never>(() => undefined)
+    await this.#transmit(to, from.memberId)
+    await from.clock.waitUntilResumed()
     if (result.status === 'rejected') throw result.reason
     return result.value
   }
 
-  async #travel(from: string, to: string): Promise<void> {
-    const { shortest, longest } = resendMs
+  async #transmit(from: string, to: string): Promise<void> {
+    const { shortest, longest } = retransmitMs
     const isLost = this.lossShare > 0 && this.#random() < this.lossShare
     const resentMs = isLost ? shortest + this.#random() * (longest - shortest) : 0
     await this.#clock.sleep(this.#random() * longestDelayMs + resentMs)
-    while (this.#cut.has(`${from} ${to}`)) await this.#waitForLink()
+    while (this.#cutDirections.has(`${from} ${to}`)) await this.#waitForLink()
   }
 
   async #waitForLink(): Promise<void> {
     const isHeld = this.#random() < heldShare
     await new Promise<void>((resolve) => {
-      if (isHeld) this.#waiting.push(resolve)
+      if (isHeld) this.#heldMessages.push(resolve)
     })
   }
 }
--- a/batch/service/__utils__/group/memberTransport.ts
+++ b/batch/service/__utils__/group/memberTransport.ts
@@ -10,13 +10,13 @@
   type VoteAnswer,
   type VoteRequest,
 } from '@nettlespur/consensus.raft'
-import type { MemberLife, MemberLinks } from './memberLinks.js'
+import type { MemberProcess, MemberLinks } from './memberLinks.js'
 
 export class MemberTransport extends RaftTransport {
   readonly #links: MemberLinks
-  readonly #from: MemberLife
+  readonly #from: MemberProcess
 
-  constructor(links: MemberLinks, from: MemberLife) {
+  constructor(links: MemberLinks, from: MemberProcess) {
     super()
     this.#links = links
     this.#from = from
--- /dev/null
+++ b/batch/service/__utils__/group/simulateGroup.ts
@@ -0,0 +1,48 @@
+/** Plays one seed: a group, its troubles, and then calm. */
+import { checkRecovery } from './checkRecovery.js'
+import { ControlGroup } from './controlGroup.js'
+import { GroupFaults, groupFaultKinds, type GroupFaultKind } from './groupFaults.js'
+
+const faultPhase = { shortestMs: 4000, longestMs: 20_000 }
+const maxFaults = 14
+/** Days often end with one of these. */
+const finalKinds: readonly GroupFaultKind[] = [
+  'kill-all',
+  'power-all',
+  'power',
+  'stop',
+  'lose-disk',
+]
+const finalFaultShare = 0.6
+
+export interface GroupSimulation {
+  readonly group: ControlGroup
+  readonly readyAfterMs: number | undefined
+}
+
+export async function simulateGroup(
+  seed: number,
+  kinds: readonly GroupFaultKind[] = groupFaultKinds,
+): Promise<GroupSimulation> {
+  const group = await ControlGroup.bootstrap(seed)
+  const faults = new GroupFaults(group)
+  const { random, clock } = group
+  const draw = (from: readonly GroupFaultKind[]): GroupFaultKind =>
+    from[Math.floor(random() * from.length)] ?? 'kill'
+  const faultPhaseMs =
+    faultPhase.shortestMs + random() * (faultPhase.longestMs - faultPhase.shortestMs)
+  const count = 1 + Math.floor(random() * maxFaults)
+  for (let injected = 0; injected < count; injected++) {
+    const kind = draw(kinds)
+    clock.setTimer(random() * faultPhaseMs, () => {
+      faults.inject(kind)
+    })
+  }
+  await clock.advance(faultPhaseMs)
+  const endings = finalKinds.filter((kind) => kinds.includes(kind))
+  if (random() < finalFaultShare && endings.length > 0) faults.inject(draw(endings))
+  await clock.advance(random() * 3000)
+  await faults.heal()
+  const { readyAfterMs } = await checkRecovery(group)
+  return { group, readyAfterMs }
+}
--- a/batch/service/__utils__/group/silentPort.ts
+++ b/batch/service/__utils__/group/unreachablePort.ts
@@ -2,7 +2,7 @@
 import { UpstreamPort } from '@nettlespur/batch.sessions'
 import { NettlespurError } from '@nettlespur/core.errors'
 
-export class SilentPort extends UpstreamPort {
+export class UnreachablePort extends UpstreamPort {
   override start = refuse
   override stop = refuse
   override hold = refuse
--- a/batch/service/__utils__/index.ts
+++ b/batch/service/__utils__/index.ts
@@ -1,6 +1,6 @@
 /** A fleet of fake upstreams with faulty links, for tests of the leader's work. */
 export { FakeFleet, upstreamCount } from './fakeFleet.js'
-export type { FleetTrouble } from './fleetOptions.js'
+export type { FleetFault } from './fleetOptions.js'
 export { FaultyPort, type LinkFault } from './faultyPort.js'
 export { createLocalApi, peerKey, startFakeMember, type FakeMember } from './fakeMember.js'
 export { createRecorder, type Recorder } from './recorder.js'
--- a/batch/service/__utils__/memberGroup.ts
+++ b/batch/service/__utils__/memberGroup.ts
@@ -9,7 +9,7 @@
  * Turns of the event loop without a byte after which all that was on its way has come. Each has a timer of
  * its own, since calls are gathered for a turn of Node's timers before they are sent.
  */
-const quietTurns = 10
+const idleTurns = 10
 
 interface LinkedMember {
   readonly member: FakeMember
@@ -44,17 +44,17 @@
   }
 
   member(at: number): FakeMember {
-    return this.#at(at).member
+    return this.#linkedMember(at).member
   }
 
   link(at: number): MemberLink {
-    return this.#at(at).link
+    return this.#linkedMember(at).link
   }
 
   /** The members named say from now on that this one leads. */
-  lead(at: number, term: number, saidBy: readonly number[]): void {
+  nameLeader(at: number, term: number, namedBy: readonly number[]): void {
     const memberAddresses = this.#linked.map(({ link }) => link.address)
-    for (const each of saidBy) {
+    for (const each of namedBy) {
       this.member(each).view = { leaderAddress: this.link(at).address, term, memberAddresses }
     }
   }
@@ -66,7 +66,7 @@
     void work.then(() => ends.push(this.clock.monotonicMs()))
     const isOver = (): boolean => ends.length > 0
     while (!isOver()) {
-      await this.#becomeQuiet(isOver)
+      await this.#waitUntilIdle(isOver)
       const { nextDueMs } = this.clock
       if (isOver() || nextDueMs === undefined) continue
       await this.clock.advance(nextDueMs - this.clock.monotonicMs())
@@ -82,17 +82,17 @@
     }
   }
 
-  async #becomeQuiet(isOver: () => boolean): Promise<void> {
-    let moved = -1
-    for (let turn = 0; turn < quietTurns && !isOver(); turn++) {
-      const nowMoved = this.#linked.reduce((sum, { link }) => sum + link.moved, 0)
-      if (nowMoved !== moved) turn = 0
-      moved = nowMoved
+  async #waitUntilIdle(isOver: () => boolean): Promise<void> {
+    let chunksBefore = -1
+    for (let turn = 0; turn < idleTurns && !isOver(); turn++) {
+      const chunksNow = this.#linked.reduce((sum, { link }) => sum + link.chunksRead, 0)
+      if (chunksNow !== chunksBefore) turn = 0
+      chunksBefore = chunksNow
       await new Promise((resolve) => setTimeout(() => setImmediate(resolve), 1))
     }
   }
 
-  #at(at: number): LinkedMember {
+  #linkedMember(at: number): LinkedMember {
     const linked = this.#linked[at]
     if (linked === undefined) throw new Error(`no member ${at}`)
     return linked
--- a/batch/service/__utils__/memberLink.ts
+++ b/batch/service/__utils__/memberLink.ts
@@ -5,34 +5,34 @@
 
 export class MemberLink {
   /** Pieces that were read on either side: while it stands still, nothing is on its way. */
-  moved = 0
-  opened = 0
+  chunksRead = 0
+  connectionsOpened = 0
   /** New connections are taken and carry nothing, as to a machine without power. */
-  isDark = false
+  isBlackholed = false
   /** New connections are ended at once, as by a machine whose process was killed. */
   isRefusing = false
   /** Waited for before anything of the member's is passed on. */
-  holdAnswers: () => Promise<unknown> = () => Promise.resolve()
+  delayAnswer: () => Promise<unknown> = () => Promise.resolve()
   readonly #server: Server
-  readonly #towards = new Set<Socket>()
-  readonly #back = new Set<Socket>()
+  readonly #clientSockets = new Set<Socket>()
+  readonly #memberSockets = new Set<Socket>()
 
   private constructor(target: string) {
     const [host = '', port = ''] = target.split(':')
-    this.#server = createServer((inner) => {
-      this.opened += 1
-      this.#keep(this.#towards, inner)
+    this.#server = createServer((clientSocket) => {
+      this.connectionsOpened += 1
+      this.#track(this.#clientSockets, clientSocket)
       if (this.isRefusing) {
-        inner.destroy()
+        clientSocket.destroy()
         return
       }
-      if (this.isDark) {
-        inner.resume()
+      if (this.isBlackholed) {
+        clientSocket.resume()
         return
       }
-      const outer = connect({ host, port: Number(port) })
-      this.#keep(this.#back, outer)
-      inner.pipe(outer).pipe(this.#createHold()).pipe(inner)
+      const memberSocket = connect({ host, port: Number(port) })
+      this.#track(this.#memberSockets, memberSocket)
+      clientSocket.pipe(memberSocket).pipe(this.#createDelay()).pipe(clientSocket)
     })
   }
 
@@ -50,49 +50,49 @@
   /** What is open ends, and new connections with it. */
   refuse(): void {
     this.isRefusing = true
-    for (const socket of [...this.#towards, ...this.#back]) socket.destroy()
+    for (const socket of [...this.#clientSockets, ...this.#memberSockets]) socket.destroy()
   }
 
   /** From now on the connections that are open carry nothing. */
   silence(): void {
-    this.silenceCalls()
-    mute(this.#back)
+    this.silenceRequests()
+    mute(this.#memberSockets)
   }
 
   /** From now on the connections that are open carry nothing towards the member; its answers still come. */
-  silenceCalls(): void {
-    mute(this.#towards)
+  silenceRequests(): void {
+    mute(this.#clientSockets)
   }
 
   async close(): Promise<void> {
     const closed = once(this.#server, 'close')
     this.#server.close()
-    for (const socket of [...this.#towards, ...this.#back]) socket.destroy()
+    for (const socket of [...this.#clientSockets, ...this.#memberSockets]) socket.destroy()
     await closed
   }
 
   /** Pieces pass one after the other; several may be held at a time. */
-  #createHold(): Transform {
-    const hold: Transform = new Transform({
-      transform: (piece, _encoding, taken) => {
-        void this.holdAnswers().then(() => hold.push(piece))
-        taken()
+  #createDelay(): Transform {
+    const delay: Transform = new Transform({
+      transform: (chunk, _encoding, done) => {
+        void this.delayAnswer().then(() => delay.push(chunk))
+        done()
       },
-      flush: (ended) => {
-        void this.holdAnswers().then(() => {
-          ended()
+      flush: (done) => {
+        void this.delayAnswer().then(() => {
+          done()
         })
       },
     })
-    return hold
+    return delay
   }
 
-  #keep(side: Set<Socket>, socket: Socket): void {
+  #track(side: Set<Socket>, socket: Socket): void {
     side.add(socket)
     // Else the last bytes wait for an acknowledgement, for 40 ms of real time.
     socket.setNoDelay(true)
     socket.on('error', () => socket.destroy())
-    socket.on('data', () => (this.moved += 1))
+    socket.on('data', () => (this.chunksRead += 1))
   }
 }
 
--- a/batch/service/test/announceWithoutLeader.test.ts
+++ b/batch/service/test/announceWithoutLeader.test.ts
@@ -8,7 +8,7 @@
 
 const all = [0, 1, 2, 3, 4]
 /** Well within the second after which an upstream tries another member by itself. */
-const soonMs = 400
+const maxRefusalMs = 400
 
 async function announce({ client, clock }: MemberGroup) {
   const startMs = clock.monotonicMs()
@@ -27,7 +27,7 @@
     })
     .run()
   const { kind } = outcome.swap().orDefault(new NettlespurError('not-leader', 'done'))
-  return { isTaken: outcome.isRight(), kind, tookMs: clock.monotonicMs() - startMs }
+  return { isAccepted: outcome.isRight(), kind, tookMs: clock.monotonicMs() - startMs }
 }
 
 function stepDown(group: MemberGroup): void {
@@ -38,10 +38,10 @@
 test('an announcement is refused soon where no leader is found', async (t) => {
   const group = await startWatchedGroup(t, all.length)
   stepDown(group)
-  const { isTaken, kind, tookMs } = (await group.settle(announce(group))).outcome
-  t.false(isTaken)
+  const { isAccepted, kind, tookMs } = (await group.settle(announce(group))).outcome
+  t.false(isAccepted)
   t.is(kind, 'not-leader')
-  t.true(tookMs <= soonMs, `${tookMs} ms`)
+  t.true(tookMs <= maxRefusalMs, `${tookMs} ms`)
 })
 
 test('an announcement still reaches a leader that is elected a moment later', async (t) => {
@@ -49,6 +49,6 @@
   stepDown(group)
   const announcing = announce(group)
   await group.settle(group.clock.sleep(60))
-  group.lead(1, 2, all)
-  t.true((await group.settle(announcing)).outcome.isTaken)
+  group.nameLeader(1, 2, all)
+  t.true((await group.settle(announcing)).outcome.isAccepted)
 })
--- a/batch/service/test/batchLeader.test.ts
+++ b/batch/service/test/batchLeader.test.ts
@@ -9,7 +9,7 @@
 const leaseMs = 9500 * 1.03
 
 /** Takes a whole upstream for each task. */
-function createLarge(jobId: string, taskCount: number, expectedRunTimeMs = 10_000) {
+function createWholeUpstreamJob(jobId: string, taskCount: number, expectedRunTimeMs = 10_000) {
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   return createJob(jobId, { taskCount, needs, expectedRunTimeMs, isGang: true })
 }
@@ -27,7 +27,8 @@
   })
   await fleet.clock.advance(settledMs)
   t.true(isRecorded)
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(settledMs)
   t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
   t.is(fleet.ledger.starts.length, upstreamCount - 1)
@@ -40,7 +41,8 @@
   await draining
   fleet.elect()
   await fleet.clock.advance(settledMs)
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(settledMs)
   t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
 })
@@ -61,9 +63,9 @@
 
 test('guaranteed work begins once those who borrow its accelerators have stopped', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('borrower', upstreamCount), 1)
+  fleet.submit(createWholeUpstreamJob('borrower', upstreamCount), 1)
   await fleet.clock.advance(settledMs)
-  fleet.submit(createLarge('guaranteed', 2, 1000), 0)
+  fleet.submit(createWholeUpstreamJob('guaranteed', 2, 1000), 0)
   await fleet.clock.advance(stopMs + 100)
   t.is(countStarted(fleet, 'guaranteed'), 2)
   await fleet.clock.advance(30_000)
@@ -73,8 +75,8 @@
 
 test('a gang of which one start stays unanswered is given up before its members wait in vain', async (t) => {
   const fleet = await startFleet()
-  fleet.apply({ kind: 'cut', upstream: 0, forMs: 20_000 })
-  fleet.submit(createLarge('gang', upstreamCount, 1000), 1)
+  fleet.inject({ kind: 'cut', upstream: 0, forMs: 20_000 })
+  fleet.submit(createWholeUpstreamJob('gang', upstreamCount, 1000), 1)
   await fleet.clock.advance(2900)
   t.is(countStarted(fleet, 'gang'), upstreamCount - 1)
   const left = [...fleet.state.placements.upstreamIds]
@@ -82,38 +84,38 @@
 })
 
 /** Number of the upstream on which the only task of the job is placed. */
-function findPlace(fleet: FakeFleet, jobId: string): number {
+function findUpstreamIndex(fleet: FakeFleet, jobId: string): number {
   const upstreamId = fleet.state.jobs.get(jobId)?.steps[0]?.tasks[0]?.upstreamId ?? ''
   return fleet.listUpstreamIds().indexOf(upstreamId)
 }
 
 test('what ran on an upstream that has left starts elsewhere at once, and not after a silence', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('j', 1), 1)
+  fleet.submit(createWholeUpstreamJob('j', 1), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'j'), 1)
-  fleet.leave(findPlace(fleet, 'j'))
+  fleet.leave(findUpstreamIndex(fleet, 'j'))
   await fleet.clock.advance(1000)
   t.is(countStarted(fleet, 'j'), 2)
 })
 
 test('what ran on an upstream that is lost for good starts elsewhere once its lease is over', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('j', 1, 60_000), 1)
+  fleet.submit(createWholeUpstreamJob('j', 1, 60_000), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'j'), 1)
-  fleet.lose(findPlace(fleet, 'j'))
+  fleet.crashForGood(findUpstreamIndex(fleet, 'j'))
   await fleet.clock.advance(leaseMs + settledMs)
   t.is(countStarted(fleet, 'j'), 2)
 })
 
 test('what cannot end before its upstream leaves starts elsewhere at once, and what can is left to end', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('long', 1, 20_000), 1)
-  fleet.submit(createLarge('short', 1, 4000), 1)
+  fleet.submit(createWholeUpstreamJob('long', 1, 20_000), 1)
+  fleet.submit(createWholeUpstreamJob('short', 1, 4000), 1)
   await fleet.clock.advance(settledMs)
-  void fleet.drain(findPlace(fleet, 'long'), 4500)
-  void fleet.drain(findPlace(fleet, 'short'), 4500)
+  void fleet.drain(findUpstreamIndex(fleet, 'long'), 4500)
+  void fleet.drain(findUpstreamIndex(fleet, 'short'), 4500)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'long'), 2)
   await fleet.clock.advance(settledMs)
@@ -126,7 +128,7 @@
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   fleet.submit(createJob('j', { needs, expectedRunTimeMs: 20_000, checkpoints: true }), 1)
   await fleet.clock.advance(settledMs)
-  void fleet.drain(findPlace(fleet, 'j'), 4500)
+  void fleet.drain(findUpstreamIndex(fleet, 'j'), 4500)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'j'), 1)
   await fleet.clock.advance(settledMs)
@@ -134,23 +136,25 @@
 })
 
 /** Three announcements are missing by then, and some. */
-const unheardMs = 5000
+const missedAnnouncementsMs = 5000
 /** Far below the time to the next announcement. */
 const takeoverMs = 500
 
 test('a new leader gives work to idle upstreams before they announce themselves to it', async (t) => {
   const fleet = await startFleet()
   fleet.elect()
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(takeoverMs)
   t.is(fleet.ledger.starts.length, upstreamCount)
 })
 
 test('a new leader gives no work to an upstream that answers nothing', async (t) => {
   const fleet = await startFleet()
-  fleet.apply({ kind: 'cut', upstream: 0, forMs: 20_000 })
+  fleet.inject({ kind: 'cut', upstream: 0, forMs: 20_000 })
   fleet.elect()
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(takeoverMs)
   t.is(fleet.ledger.starts.length, upstreamCount - 1)
   t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
@@ -160,14 +164,14 @@
   const fleet = new FakeFleet({ clockRate: 1, lateMs: 1000, failures: [], linksMs: [1, 60] })
   fleet.elect()
   await fleet.clock.advance(settledMs)
-  fleet.submit(createLarge('borrower', upstreamCount / 2), 1)
+  fleet.submit(createWholeUpstreamJob('borrower', upstreamCount / 2), 1)
   await fleet.clock.advance(500)
   fleet.elect()
-  fleet.submit(createLarge('guaranteed', 2, 1000), 0)
+  fleet.submit(createWholeUpstreamJob('guaranteed', 2, 1000), 0)
   await fleet.clock.advance(takeoverMs)
   t.is(countStarted(fleet, 'guaranteed'), 2)
   t.is(countStarted(fleet, 'borrower'), 2)
-  t.is(fleet.state.placements.on(findFirstPlace(fleet, 'borrower')).size, 1)
+  t.is(fleet.state.placements.on(findFirstUpstreamId(fleet, 'borrower')).size, 1)
 })
 
 test('an upstream that answers but no longer announces itself gets no new work', async (t) => {
@@ -175,15 +179,15 @@
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 1 }
   fleet.submit(createJob('running', { needs, expectedRunTimeMs: 60_000 }), 1)
   await fleet.clock.advance(settledMs)
-  const at = findPlace(fleet, 'running')
-  fleet.mute(at)
-  await fleet.clock.advance(unheardMs)
+  const at = findUpstreamIndex(fleet, 'running')
+  fleet.stopAnnouncing(at)
+  await fleet.clock.advance(missedAnnouncementsMs)
   fleet.submit(createJob('more', { taskCount: 3, needs, expectedRunTimeMs: 60_000 }), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'more'), 3)
   t.is(fleet.state.placements.on(fleet.upstreamIdOf(at)).size, 1)
 })
 
-function findFirstPlace(fleet: FakeFleet, jobId: string): string {
+function findFirstUpstreamId(fleet: FakeFleet, jobId: string): string {
   return fleet.state.jobs.get(jobId)?.steps[0]?.tasks[0]?.upstreamId ?? ''
 }
--- a/batch/service/test/callLog.test.ts
+++ b/batch/service/test/callLog.test.ts
@@ -17,7 +17,7 @@
   return { name: `call-${sort}`, subject, sort, remote: refuse, local: refuse }
 }
 
-function startTrial() {
+function createFixture() {
   const clock = new ManualClock()
   const recorder = createRecorder()
   const log = new CallLog({ clock, ...recorder })
@@ -36,7 +36,7 @@
 }
 
 test('reads that are answered in time are named together in one line a second', async (t) => {
-  const { clock, note, named } = startTrial()
+  const { clock, note, named } = createFixture()
   await note('a', 'read')
   await note('b', 'read', { tookMs: 40 })
   t.deepEqual(named('calls.answered'), [])
@@ -51,7 +51,7 @@
 })
 
 test('a slow read says what it waited on, how old the belief was and what its caller gave it', async (t) => {
-  const { note, named } = startTrial()
+  const { note, named } = createFixture()
   await note('a', 'read', { tookMs: 720, wait: { deadlineMs: 3000 } })
   t.like(named('call.answered')[0], {
     call: 'call-read',
@@ -70,14 +70,14 @@
 })
 
 test('a read whose caller went away before its answer has a line, however fast it was', async (t) => {
-  const { note, named, metrics } = startTrial()
+  const { note, named, metrics } = createFixture()
   await note('a', 'read', { wait: { gone: AbortSignal.abort() } })
   t.like(named('call.answered'), [{ subject: 'a', outcome: 'done', callerIsGone: true }])
   t.is(metrics.counterValue('calls_call_read_caller_gone_total'), 1)
 })
 
 test('each failed call and each change has a line, and what is repeated by itself none', async (t) => {
-  const { clock, note, named } = startTrial()
+  const { clock, note, named } = createFixture()
   const error = new NettlespurError('outcome-unknown', 'silent')
   await note('a', 'read', { error })
   await note('b', 'change')
@@ -94,7 +94,7 @@
 })
 
 test('a burst of slow reads leaves a bounded number of lines, and the summary counts the rest', async (t) => {
-  const { clock, log, named } = startTrial()
+  const { clock, log, named } = createFixture()
   const traces = Array.from({ length: 200 }, () => new CallTrace(clock, {}))
   await clock.advance(500)
   for (const [at, trace] of traces.entries()) {
@@ -107,7 +107,7 @@
 })
 
 test('what waits for its summary is written at the end of the process', async (t) => {
-  const { log, note, named } = startTrial()
+  const { log, note, named } = createFixture()
   await note('a', 'read')
   log.close()
   t.like(named('calls.answered'), [{ calls: 1 }])
--- a/batch/service/test/calmGroup.test.ts
+++ b/batch/service/test/calmGroup.test.ts
@@ -7,19 +7,19 @@
  * name the leader, 150 reads at once are answered, and so is each read for 30 s more.
  */
 import test, { type ExecutionContext } from 'ava'
-import { playGroup } from '../__utils__/group/index.js'
+import { simulateGroup } from '../__utils__/group/index.js'
 
 /** `CALM_SEEDS=N` plays as many, from `CALM_FROM` on. */
-const seeds = Number(process.env.CALM_SEEDS ?? 4)
+const seedCount = Number(process.env.CALM_SEEDS ?? 4)
 const fromSeed = Number(process.env.CALM_FROM ?? 1)
 
-async function assertCalm(t: ExecutionContext, seed: number) {
-  const { group } = await playGroup(seed)
-  const { faults, lines } = group
-  const trace = faults.length === 0 ? '' : [...lines, group.describe()].join('\n')
-  t.deepEqual(faults, [], `seed ${seed}\n${trace}`)
+async function assertRecovers(t: ExecutionContext, seed: number) {
+  const { group } = await simulateGroup(seed)
+  const { violations, trace } = group
+  const report = violations.length === 0 ? '' : [...trace, group.describe()].join('\n')
+  t.deepEqual(violations, [], `seed ${seed}\n${report}`)
 }
 
 test('whatever befell a group, once it is calm every member names the leader and every read is answered', async (t) => {
-  for (let seed = fromSeed; seed < fromSeed + seeds; seed++) await assertCalm(t, seed)
+  for (let seed = fromSeed; seed < fromSeed + seedCount; seed++) await assertRecovers(t, seed)
 })
--- a/batch/service/test/crashingTasks.test.ts
+++ b/batch/service/test/crashingTasks.test.ts
@@ -74,7 +74,7 @@
   }
   for (let second = 0; second < 12; second++) {
     await fleet.clock.advance(1000)
-    fleet.apply({ kind: 'crash', upstream: 0 })
+    fleet.inject({ kind: 'crash', upstream: 0 })
   }
   await fleet.clock.advance(settledMs)
   t.deepEqual(
@@ -121,11 +121,11 @@
       }
       for (const { atMs, ...cut } of cuts) {
         fleet.clock.setTimer(atMs, () => {
-          fleet.apply({ kind: 'cut', ...cut })
+          fleet.inject({ kind: 'cut', ...cut })
         })
       }
       await fleet.clock.advance(15_000)
-      fleet.calm()
+      fleet.healLinks()
       await fleet.clock.advance(120_000)
       fleet.leader?.stop()
       assert.deepEqual(fleet.ledger.violations, [])
--- a/batch/service/test/foreignAnnouncements.test.ts
+++ b/batch/service/test/foreignAnnouncements.test.ts
@@ -13,14 +13,14 @@
   return { ...description, isDraining: false, sequence: 1e6, clockMs: 1, ...fields }
 }
 
-async function hear(fleet: FakeFleet, announcement: Announcement): Promise<void> {
+async function announce(fleet: FakeFleet, announcement: Announcement): Promise<void> {
   const heard = fleet.leader?.announce(announcement)
   await fleet.clock.advance(100)
   await heard
 }
 
 /** Upstreams on which work starts if each is asked for one task that fills it. */
-async function countUsed(fleet: FakeFleet): Promise<number> {
+async function countUsableUpstreams(fleet: FakeFleet): Promise<number> {
   fleet.submit(createJob('j', { taskCount: 6, needs, expectedRunTimeMs: 60_000 }), 1)
   await fleet.clock.advance(settledMs)
   return new Set(fleet.ledger.starts.map(({ index }) => index)).size
@@ -30,16 +30,16 @@
   const fleet = await startFleet()
   const upstreamId = fleet.upstreamIdOf(0)
   const before = fleet.state.upstreams.get(upstreamId)
-  await hear(fleet, createAnnouncement(fleet, { pool: 'unknown', isDraining: true }))
+  await announce(fleet, createAnnouncement(fleet, { pool: 'unknown', isDraining: true }))
   t.deepEqual(fleet.state.upstreams.get(upstreamId), before)
-  t.is(await countUsed(fleet), upstreamCount)
+  t.is(await countUsableUpstreams(fleet), upstreamCount)
 })
 
 test('an announcement of a pool that is not configured changes nothing of another upstream at its address', async (t) => {
   const fleet = await startFleet()
-  await hear(fleet, createAnnouncement(fleet, { upstreamId: 'foreign', pool: 'unknown' }))
+  await announce(fleet, createAnnouncement(fleet, { upstreamId: 'foreign', pool: 'unknown' }))
   t.false(fleet.state.upstreams.has('foreign'))
-  t.is(await countUsed(fleet), upstreamCount)
+  t.is(await countUsableUpstreams(fleet), upstreamCount)
 })
 
 test('an upstream of a pool that is dropped can still say that it is about to leave', async (t) => {
@@ -47,14 +47,14 @@
   const { config } = fleet.state
   if (config === undefined) return t.fail()
   fleet.commit({ type: 'apply-config', config: { ...config, version: 2, pools: [], queues: [] } })
-  await hear(fleet, createAnnouncement(fleet, { isDraining: true }))
+  await announce(fleet, createAnnouncement(fleet, { isDraining: true }))
   t.true(fleet.state.upstreams.get(fleet.upstreamIdOf(0))?.isDraining)
 })
 
 test('a late announcement of a life that is over does not keep the next life at its address from work', async (t) => {
   const fleet = await startFleet()
   const late = createAnnouncement(fleet, { upstreamId: 'former-life', sequence: 1 })
-  await hear(fleet, late)
-  t.is(await countUsed(fleet), upstreamCount)
+  await announce(fleet, late)
+  t.is(await countUsableUpstreams(fleet), upstreamCount)
   t.true(fleet.state.placements.on(fleet.upstreamIdOf(0)).size > 0)
 })
--- a/batch/service/test/fullDisks.test.ts
+++ b/batch/service/test/fullDisks.test.ts
@@ -5,27 +5,27 @@
  * five has no majority that writes, though no disk is full any more.
  */
 import test from 'ava'
-import { checkCalm, ControlGroup, playGroup } from '../__utils__/group/index.js'
+import { checkRecovery, ControlGroup, simulateGroup } from '../__utils__/group/index.js'
 
 const fullMs = 600
-const betweenMs = 5000
+const pauseMs = 5000
 
 test('a group whose disks were full one after the other, each for a moment, answers as before', async (t) => {
-  const group = await ControlGroup.found(1)
+  const group = await ControlGroup.bootstrap(1)
   for (const { disk } of group.members) {
     disk.isFull = true
     await group.clock.advance(fullMs)
     disk.heal()
-    await group.clock.advance(betweenMs)
+    await group.clock.advance(pauseMs)
   }
-  const { readyAfterMs } = await checkCalm(group)
-  t.deepEqual(group.faults, [], group.lines.slice(-40).join('\n'))
+  const { readyAfterMs } = await checkRecovery(group)
+  t.deepEqual(group.violations, [], group.trace.slice(-40).join('\n'))
   t.truthy(readyAfterMs)
 })
 
 test('schedules with full disks after which members took part no more are survived', async (t) => {
   for (const seed of [20, 26]) {
-    const { group } = await playGroup(seed)
-    t.deepEqual(group.faults, [], `seed ${seed}\n${group.describe()}`)
+    const { group } = await simulateGroup(seed)
+    t.deepEqual(group.violations, [], `seed ${seed}\n${group.describe()}`)
   }
 })
--- a/batch/service/test/goneUpstream.test.ts
+++ b/batch/service/test/goneUpstream.test.ts
@@ -34,7 +34,7 @@
 const gone = { type: 'gone', clockMs: undefined } as const
 
 /** Another life answers at its address. */
-class GonePort extends UpstreamPort {
+class RestartedUpstreamPort extends UpstreamPort {
   readonly #clock: ManualClock
 
   constructor(clock: ManualClock) {
@@ -62,7 +62,7 @@
   readonly state = new BatchState()
   readonly gone: string[] = []
   /** Commits that fail first. */
-  failing = 0
+  failingCommits = 0
   readonly #clock: ManualClock
 
   constructor(clock: ManualClock) {
@@ -98,8 +98,8 @@
 
   override async commitEnds(ends: readonly RunEnd[]): Promise<boolean> {
     await this.#clock.sleep(commitMs)
-    this.failing -= 1
-    if (this.failing >= 0) return false
+    this.failingCommits -= 1
+    if (this.failingCommits >= 0) return false
     this.state.apply({ type: 'end-runs', ends: [...ends] })
     return true
   }
@@ -118,7 +118,7 @@
   const host = new SlowHost(clock)
   const session = new UpstreamSession({
     target: { upstreamId, address: '127.0.0.1:9000' },
-    port: new GonePort(clock),
+    port: new RestartedUpstreamPort(clock),
     host,
     clock,
     logger: silentLogger,
@@ -143,7 +143,7 @@
 
 test('the ends of an upstream that is gone are proposed again where their commit fails', async (t) => {
   const { clock, host, session } = startSession()
-  host.failing = 3
+  host.failingCommits = 3
   session.start(host.place(0))
   await clock.advance(10_000)
   t.is(host.state.placements.on(upstreamId).size, 0)
--- a/batch/service/test/housekeeper.test.ts
+++ b/batch/service/test/housekeeper.test.ts
@@ -7,7 +7,7 @@
 
 const keepEndedMs = 60_000
 /** Longer than the life of an upstream that left is kept. */
-const leftMs = 601_000
+const forgetLeftMs = 601_000
 
 function startHousekeeper() {
   const clock = new ManualClock()
@@ -18,11 +18,11 @@
     return Promise.resolve(true)
   }
   const housekeeper = new Housekeeper({ clock, keepEndedMs, getState: () => state, tryPropose })
-  const lookAfter = async (durationMs: number): Promise<void> => {
+  const advanceAndRun = async (durationMs: number): Promise<void> => {
     await clock.advance(durationMs)
     await housekeeper.look()
   }
-  return { state, lookAfter }
+  return { state, advanceAndRun }
 }
 
 function submit(state: BatchState, jobId: string): void {
@@ -31,19 +31,19 @@
 }
 
 test('a job that ended is forgotten once nobody asks for it any more, and an open one is kept', async (t) => {
-  const { state, lookAfter } = startHousekeeper()
+  const { state, advanceAndRun } = startHousekeeper()
   submit(state, 'ended')
   submit(state, 'open')
   state.apply({ type: 'cancel-job', jobId: 'ended' })
-  await lookAfter(0)
-  await lookAfter(keepEndedMs - 1)
+  await advanceAndRun(0)
+  await advanceAndRun(keepEndedMs - 1)
   t.true(state.jobs.has('ended'))
-  await lookAfter(1000)
+  await advanceAndRun(1000)
   t.deepEqual([...state.jobs.keys()], ['open'])
 })
 
 test('an upstream that left is forgotten late, and not while it holds a run', async (t) => {
-  const { state, lookAfter } = startHousekeeper()
+  const { state, advanceAndRun } = startHousekeeper()
   for (const upstreamId of ['left', 'busy', 'here']) {
     state.apply({ type: 'note-upstream', description: createUpstream(upstreamId) })
   }
@@ -51,9 +51,9 @@
   const placement = { jobId: 'j', step: 0, index: 0, attempt: 1, upstreamId: 'busy' }
   state.apply({ type: 'place-tasks', placements: [placement] })
   for (const upstreamId of ['left', 'busy']) state.apply({ type: 'remove-upstream', upstreamId })
-  await lookAfter(0)
-  await lookAfter(leftMs / 2)
+  await advanceAndRun(0)
+  await advanceAndRun(forgetLeftMs / 2)
   t.is(state.upstreams.size, 3)
-  await lookAfter(leftMs / 2)
+  await advanceAndRun(forgetLeftMs / 2)
   t.deepEqual([...state.upstreams.keys()], ['busy', 'here'])
 })
--- a/batch/service/test/jobClock.test.ts
+++ b/batch/service/test/jobClock.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava'
 import { JobClock } from '../src/jobClock.js'
 
-function createMember() {
+function createFixture() {
   const state = new BatchState()
   const jobClock = new JobClock()
   const apply = (command: Command, nowMs: number): void => {
@@ -20,21 +20,21 @@
 }
 
 test('a member that takes the lead later knows since when a job has waited', (t) => {
-  const { state, jobClock, apply } = createMember()
+  const { state, jobClock, apply } = createFixture()
   apply(submit('j'), 1000)
   jobClock.update(state, 6000)
   t.is(jobClock.waitedMs('j', 6000), 5000)
 })
 
 test('a job handed in twice has waited since the first time', (t) => {
-  const { jobClock, apply } = createMember()
+  const { jobClock, apply } = createFixture()
   apply(submit('j'), 1000)
   apply(submit('j'), 3000)
   t.is(jobClock.waitedMs('j', 4000), 3000)
 })
 
 test('what is forgotten takes no room on a member that never leads', (t) => {
-  const { jobClock, apply } = createMember()
+  const { jobClock, apply } = createFixture()
   apply(submit('j'), 1000)
   apply({ type: 'cancel-job', jobId: 'j' }, 2000)
   apply({ type: 'forget-jobs', jobIds: ['j'] }, 3000)
@@ -42,7 +42,7 @@
 })
 
 test('a job that came with a snapshot counts from when it is first looked at', (t) => {
-  const { state } = createMember()
+  const { state } = createFixture()
   state.apply(submit('j'))
   const jobClock = new JobClock()
   jobClock.update(state, 6000)
--- a/batch/service/test/leaderClient.test.ts
+++ b/batch/service/test/leaderClient.test.ts
@@ -49,7 +49,7 @@
   return client.submitJob({ host: 'h', path: '/q/j', request: createJob('j', {}) }).run()
 }
 
-function lead(leader: FakeMember, term: number, ...members: FakeMember[]): void {
+function nameLeader(leader: FakeMember, term: number, ...members: FakeMember[]): void {
   for (const member of members) {
     member.view = { leaderAddress: leader.address, term, memberAddresses: [leader.address] }
   }
@@ -57,7 +57,7 @@
 
 test('a member that is not a seed is found through one that is', async (t) => {
   const [seed, leader] = await startMembers(t)
-  lead(leader, 1, seed)
+  nameLeader(leader, 1, seed)
   const outcome = await submit(createClient(t, [seed], 5000))
   t.true(outcome.isRight())
   t.deepEqual([seed.submitted, leader.submitted], [[], ['j']])
@@ -67,8 +67,8 @@
   // On the manual clock: beside load one of two answers can come after the 300 ms of a search, and not be heard in it.
   const group = await MemberGroup.start(2, { callTimeoutMs: 5000, patienceMs: 5000 })
   t.teardown(() => group.stop())
-  group.lead(0, 1, [0])
-  group.lead(1, 2, [1])
+  group.nameLeader(0, 1, [0])
+  group.nameLeader(1, 2, [1])
   const { outcome } = await group.settle(submit(group.client))
   t.true(outcome.isRight())
   t.deepEqual([group.member(0).submitted, group.member(1).submitted], [[], ['j']])
@@ -76,7 +76,7 @@
 
 test('a leader that has stepped down names the next one', async (t) => {
   const [former, leader] = await startMembers(t)
-  lead(former, 1, former)
+  nameLeader(former, 1, former)
   former.answer = () =>
     Promise.reject(new NettlespurError('not-leader', 'no more', { hint: leader.address }))
   t.true((await submit(createClient(t, [former], 5000))).isRight())
@@ -95,7 +95,7 @@
   // On the manual clock: on a busy machine the search alone could take the time, and the call reach nobody.
   const group = await MemberGroup.start(2, { callTimeoutMs: 300, patienceMs: 300 })
   t.teardown(() => group.stop())
-  group.lead(0, 1, [0, 1])
+  group.nameLeader(0, 1, [0, 1])
   group.member(0).answer = () => {
     // Whoever is asked from now on knows no leader, so the last try ends as certain as can be.
     for (const at of [0, 1]) group.member(at).view = { term: 2, memberAddresses: [] }
@@ -110,7 +110,7 @@
 
 test('a member that was just elected and is not ready yet is given the time to become so', async (t) => {
   const [elected] = await startMembers(t)
-  lead(elected, 1, elected)
+  nameLeader(elected, 1, elected)
   let isReady = false
   const api = createLocalApi(() => {
     if (isReady) return Promise.resolve(null)
@@ -126,7 +126,7 @@
 
 test('what the leader itself refuses is told at once', async (t) => {
   const [leader] = await startMembers(t)
-  lead(leader, 1, leader)
+  nameLeader(leader, 1, leader)
   leader.answer = () => Promise.reject(new NettlespurError('unauthorized', 'wrong key'))
   const error = (await submit(createClient(t, [leader], 5000))).swap().unsafeCoerce()
   t.is(error.kind, 'unauthorized')
--- a/batch/service/test/leaderModel.test.ts
+++ b/batch/service/test/leaderModel.test.ts
@@ -7,12 +7,12 @@
 import test from 'ava'
 import fc from 'fast-check'
 import assert from 'node:assert/strict'
-import { FakeFleet, upstreamCount, type FleetTrouble, type LinkFault } from '../__utils__/index.js'
+import { FakeFleet, upstreamCount, type FleetFault, type LinkFault } from '../__utils__/index.js'
 
-const troubledMs = 20_000
-const calmMs = 90_000
+const faultPhaseMs = 20_000
+const recoveryMs = 90_000
 /** Ten a second for each upstream: long polls need one in two seconds, and one for each end. */
-const looksMax = (10 * upstreamCount * (troubledMs + calmMs)) / 1000
+const maxHoldCalls = (10 * upstreamCount * (faultPhaseMs + recoveryMs)) / 1000
 
 const linkFault = fc.constantFrom<LinkFault>(
   'answer-lost',
@@ -21,7 +21,7 @@
   'silent',
   'unread-rows',
 )
-const trouble: fc.Arbitrary<FleetTrouble> = fc.oneof(
+const fleetFault: fc.Arbitrary<FleetFault> = fc.oneof(
   fc.record({
     kind: fc.constant('fault' as const),
     fault: linkFault,
@@ -74,7 +74,7 @@
     minLength: 1,
     maxLength: 6,
   }),
-  troubles: fc.array(fc.record({ atMs: fc.nat(troubledMs), trouble }), { maxLength: 10 }),
+  faults: fc.array(fc.record({ atMs: fc.nat(faultPhaseMs), fault: fleetFault }), { maxLength: 10 }),
   failures: fc.array(fc.nat(9), { minLength: 5, maxLength: 5 }),
   clockRate: fc.constantFrom(0.98, 0.99, 1),
   lateMs: fc.integer({ min: 300, max: 12_000 }),
@@ -83,7 +83,7 @@
 
 test('whatever links, upstreams and leaders do, no task runs twice, too early or after its end, and every job ends', async (t) => {
   await fc.assert(
-    fc.asyncProperty(schedule, async ({ jobs, troubles, ...opts }) => {
+    fc.asyncProperty(schedule, async ({ jobs, faults, ...opts }) => {
       const fleet = new FakeFleet(opts)
       fleet.elect()
       jobs.forEach(({ atMs, steps, priority }, at) => {
@@ -92,19 +92,19 @@
           fleet.submit(request, priority)
         })
       })
-      for (const { atMs, trouble } of troubles) {
+      for (const { atMs, fault } of faults) {
         fleet.clock.setTimer(atMs, () => {
-          fleet.apply(trouble)
+          fleet.inject(fault)
         })
       }
-      await fleet.clock.advance(troubledMs)
-      fleet.calm()
-      await fleet.clock.advance(calmMs)
+      await fleet.clock.advance(faultPhaseMs)
+      fleet.healLinks()
+      await fleet.clock.advance(recoveryMs)
       fleet.leader?.stop()
       assert.deepEqual(fleet.ledger.violations, [])
       assert.deepEqual([...fleet.state.unsettled.keys()], [])
       assert.deepEqual(listUnfinished(fleet), [])
-      assert.ok(fleet.port.looks < looksMax, `${fleet.port.looks} looks`)
+      assert.ok(fleet.port.holdCalls < maxHoldCalls, `${fleet.port.holdCalls} looks`)
     }),
     { numRuns: 60, includeErrorInReport: true },
   )
--- a/batch/service/test/leaderWatch.test.ts
+++ b/batch/service/test/leaderWatch.test.ts
@@ -16,7 +16,7 @@
 function cutOff(group: MemberGroup, members: readonly number[]): void {
   for (const at of members) {
     group.link(at).silence()
-    group.link(at).isDark = true
+    group.link(at).isBlackholed = true
   }
 }
 
@@ -32,7 +32,7 @@
 test('an idle process learns of another leader before anyone calls', async (t) => {
   const group = await startWatchedGroup(t)
   cutOff(group, [0])
-  group.lead(1, 2, [1, 2])
+  group.nameLeader(1, 2, [1, 2])
   await group.settle(group.clock.sleep(3000))
   t.is(group.client.leaderAddress, group.link(1).address)
 })
@@ -43,7 +43,7 @@
   await group.settle(group.clock.sleep(4000))
   t.false(group.client.reachesMembers)
   t.is(group.recorder.named('members.unreachable').length, 1)
-  group.link(2).isDark = false
+  group.link(2).isBlackholed = false
   group.link(2).silence()
   await group.settle(group.clock.sleep(3000))
   t.true(group.client.reachesMembers)
--- a/batch/service/test/orphanedMember.test.ts
+++ b/batch/service/test/orphanedMember.test.ts
@@ -5,18 +5,18 @@
  * good, named the leader of old to whoever asked, and the group went on with one member too few.
  */
 import test from 'ava'
-import { checkCalm, ControlGroup, playGroup } from '../__utils__/group/index.js'
+import { checkRecovery, ControlGroup, simulateGroup } from '../__utils__/group/index.js'
 
 const joinedMs = 450
 const electedMs = 5000
 
 test('a newcomer whose addition was never committed asks again and is added', async (t) => {
-  const group = await ControlGroup.found(1)
+  const group = await ControlGroup.bootstrap(1)
   const { leader, links, clock } = group
   for (const other of group.members) {
     if (leader === undefined || other === leader) continue
-    links.cutWay(leader.member.memberId, other.member.memberId)
-    links.cutWay(other.member.memberId, leader.member.memberId)
+    links.cutOneWay(leader.member.memberId, other.member.memberId)
+    links.cutOneWay(other.member.memberId, leader.member.memberId)
   }
   group.addMember()
   await clock.advance(joinedMs)
@@ -24,8 +24,8 @@
   t.true(newcomer?.node?.isMember)
   await clock.advance(electedMs)
   links.heal()
-  const { readyAfterMs } = await checkCalm(group)
-  t.deepEqual(group.faults, [], group.describe())
+  const { readyAfterMs } = await checkRecovery(group)
+  t.deepEqual(group.violations, [], group.describe())
   t.truthy(readyAfterMs)
   const { members = [] } = group.leader?.node?.raft.describe() ?? {}
   t.true(members.some(({ memberId }) => memberId === newcomer?.member.memberId))
@@ -33,7 +33,7 @@
 
 test('the schedules that left a newcomer outside are survived', async (t) => {
   for (const seed of [50035, 40127]) {
-    const { group } = await playGroup(seed)
-    t.deepEqual(group.faults, [], `seed ${seed}\n${group.describe()}`)
+    const { group } = await simulateGroup(seed)
+    t.deepEqual(group.violations, [], `seed ${seed}\n${group.describe()}`)
   }
 })
--- a/batch/service/test/refusedStarts.test.ts
+++ b/batch/service/test/refusedStarts.test.ts
@@ -9,20 +9,20 @@
   const fleet = await startFleet()
   for (let at = 0; at < upstreamCount; at++) {
     fleet.resize(at, 3)
-    fleet.mute(at)
+    fleet.stopAnnouncing(at)
   }
   fleet.submit(createJob('j', { needs }), 1)
   await fleet.clock.advance(1000)
-  t.is(fleet.port.starts, upstreamCount)
+  t.is(fleet.port.startCalls, upstreamCount)
 })
 
 test('a task that upstreams refuse for what it is starts ever more rarely, and at last', async (t) => {
   const fleet = await startFleet()
-  fleet.apply({ kind: 'fault', fault: 'invalid-starts', calls: 10_000 })
+  fleet.inject({ kind: 'fault', fault: 'invalid-starts', calls: 10_000 })
   fleet.submit(createJob('j', { needs }), 1)
   await fleet.clock.advance(10_000)
-  t.true(fleet.port.starts < 20, `${fleet.port.starts} starts`)
-  fleet.calm()
+  t.true(fleet.port.startCalls < 20, `${fleet.port.startCalls} starts`)
+  fleet.healLinks()
   await fleet.clock.advance(10_000)
   t.is(fleet.state.jobs.get('j')?.status, 'completed')
 })
--- a/batch/service/test/shrinkingRoom.test.ts
+++ b/batch/service/test/shrinkingRoom.test.ts
@@ -16,7 +16,7 @@
   return fleet
 }
 
-function createSmall(jobId: string, taskCount: number) {
+function createOneAcceleratorJob(jobId: string, taskCount: number) {
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 1 }
   return createJob(jobId, { taskCount, needs, expectedRunTimeMs: 20_000 })
 }
@@ -30,7 +30,7 @@
   fleet.resize(0, 2)
   await fleet.clock.advance(settledMs)
   t.is(fleet.state.upstreams.get(upstreamId)?.description.capacity.accelerators, 2)
-  fleet.mute(0)
+  fleet.stopAnnouncing(0)
   fleet.elect()
   await fleet.clock.advance(100)
   const late = { ...before, isDraining: false, sequence: 1, clockMs: 1 }
@@ -43,7 +43,7 @@
   await fleet.clock.advance(settledMs)
   for (let at = 0; at < upstreamCount; at++) fleet.resize(at, 2)
   await fleet.clock.advance(graceMs)
-  fleet.submit(createSmall('j', 20), 1)
+  fleet.submit(createOneAcceleratorJob('j', 20), 1)
   await fleet.clock.advance(settledMs)
   t.is(fleet.ledger.starts.length, 2 * upstreamCount)
   for (let at = 0; at < upstreamCount; at++) fleet.resize(at, 8)
--- a/batch/service/test/slowMembers.test.ts
+++ b/batch/service/test/slowMembers.test.ts
@@ -8,21 +8,21 @@
 
 const answerMs = 350
 
-async function startSlow(t: ExecutionContext): Promise<MemberGroup> {
+async function startSlowGroup(t: ExecutionContext): Promise<MemberGroup> {
   const group = await startWatchedGroup(t)
-  for (const at of [0, 1, 2]) group.link(at).holdAnswers = () => group.clock.sleep(answerMs)
+  for (const at of [0, 1, 2]) group.link(at).delayAnswer = () => group.clock.sleep(answerMs)
   return group
 }
 
 test('a process whose members all answer late does not say that it reaches none', async (t) => {
-  const group = await startSlow(t)
+  const group = await startSlowGroup(t)
   await group.settle(group.clock.sleep(10_000))
   t.deepEqual(group.recorder.named('members.unreachable'), [])
   t.true(group.client.reachesMembers)
 })
 
 test('a read is answered whenever it comes while all members answer late', async (t) => {
-  const group = await startSlow(t)
+  const group = await startSlowGroup(t)
   const outcomes: unknown[] = []
   for (let at = 0; at < 10; at++) {
     await group.settle(group.clock.sleep(730))
--- a/batch/service/test/stateQueries.test.ts
+++ b/batch/service/test/stateQueries.test.ts
@@ -22,7 +22,7 @@
 async function startGroup(t: ExecutionContext): Promise<MemberGroup> {
   const group = await MemberGroup.start(3, timings)
   t.teardown(() => group.stop())
-  group.lead(0, 1, [0, 1, 2])
+  group.nameLeader(0, 1, [0, 1, 2])
   t.is((await group.settle(ask(group, 'first'))).outcome.extract(), 'completed')
   return group
 }
@@ -34,8 +34,8 @@
 test('a query is answered although all connections went silent and another leader was elected meanwhile', async (t) => {
   const group = await startGroup(t)
   for (const at of [0, 1, 2]) group.link(at).silence()
-  group.link(0).isDark = true
-  group.lead(1, 2, [1, 2])
+  group.link(0).isBlackholed = true
+  group.nameLeader(1, 2, [1, 2])
   const { outcome, tookMs } = await group.settle(ask(group, 'a'))
   t.is(outcome.extract(), 'completed', `after ${tookMs} ms`)
   t.true(tookMs < deadlineMs, `${tookMs} ms`)
@@ -51,11 +51,11 @@
       }
     })
   const earlier = ask(group, 'earlier')
-  while (!group.member(0).asked.includes('earlier')) await turn()
-  group.link(0).silenceCalls()
+  while (!group.member(0).asked.includes('earlier')) await nextTurn()
+  group.link(0).silenceRequests()
   group.member(0).answerState = () => Promise.resolve('completed')
   const later = group.settle(ask(group, 'later'))
-  await turn()
+  await nextTurn()
   release()
   const { outcome, tookMs } = await later
   t.is((await earlier).extract(), 'running')
@@ -78,7 +78,7 @@
   const group = await startGroup(t)
   group.link(0).silence()
   group.link(2).silence()
-  group.link(2).isDark = true
+  group.link(2).isBlackholed = true
   const { outcome, tookMs } = await group.settle(ask(group, 'a'))
   t.is(outcome.extract(), 'completed')
   t.true(tookMs < 400, `${tookMs} ms`)
@@ -97,10 +97,10 @@
 test('a query on a connection whose first message is lost is answered', async (t) => {
   const group = await startGroup(t)
   group.link(0).silence()
-  group.link(0).isDark = true
+  group.link(0).isBlackholed = true
   const early = group.settle(ask(group, 'a'))
-  while (group.link(0).opened < 2) await turn()
-  group.link(0).isDark = false
+  while (group.link(0).connectionsOpened < 2) await nextTurn()
+  group.link(0).isBlackholed = false
   const { outcome, tookMs } = await early
   t.is(outcome.extract(), 'completed', `after ${tookMs} ms`)
   t.true(tookMs < deadlineMs, `${tookMs} ms`)
@@ -119,7 +119,7 @@
   const group = await startGroup(t)
   for (const at of [0, 1, 2]) {
     group.link(at).silence()
-    group.link(at).isDark = true
+    group.link(at).isBlackholed = true
   }
   const { outcome, tookMs } = await group.settle(ask(group, 'a'))
   t.like(outcome.extract(), { kind: 'not-leader', retryAfterMs: 500 })
@@ -163,7 +163,7 @@
   const group = await startGroup(t)
   for (const at of [0, 1, 2]) {
     group.link(at).silence()
-    group.link(at).isDark = true
+    group.link(at).isBlackholed = true
   }
   const { outcome, tookMs } = await group.settle(submit(group, 'a'))
   t.like(outcome.extract(), { kind: 'outcome-unknown' })
@@ -177,6 +177,6 @@
   return client.submitJob({ host: 'h', path: `/q/${jobId}`, request }, { deadlineMs }).run()
 }
 
-function turn(): Promise<void> {
+function nextTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve))
 }
