--- a/batch/service/__utils__/fakeFleet.ts
+++ b/batch/service/__utils__/fakeFleet.ts
@@ -17,7 +17,7 @@
 const acceleratorsEach = 8
 const commitMs = 8
 const announceEveryMs = 1500
-/** Until the next life of an upstream that a run has brought down. */
+/** From the crash of an upstream by a run until its next process answers at the same address. */
 const restartDelayMs = 3000
 
 export class FakeFleet {
@@ -25,7 +25,7 @@
   readonly state = new BatchState()
   readonly ledger: FleetLedger
   readonly #upstreams = new Map<string, FakeUpstream>()
-  /** By id, of those that have said that they are about to leave. */
+  /** When each draining upstream leaves, by its id. */
   readonly #leavesAtMs = new Map<string, number>()
   readonly #cutUntilMs = new Map<string, number>()
   readonly #notAnnouncing = new Set<string>()
@@ -35,7 +35,7 @@
   #linkFaults: LinkFault[] = []
   #startedUpstreams = 0
   #term = 0
-  /** All leaders here are the same member. */
+  /** Shared by all leaders, as they run on the same member here. */
   readonly #jobClock = new JobClock()
   #leader: BatchLeader | undefined
   #sequence = 0
@@ -126,14 +126,14 @@
     }
   }
 
-  /** Hands in a job on the queue of that priority. */
+  /** Submits a job to the queue of that priority. */
   submit(request: JobRequest, priority: number): void {
     this.ledger.addJob(request)
     const queueName = `queue${priority}`
     this.commit({ type: 'submit-job', request, workspace: 'workspace', queueName })
   }
 
-  /** One upstream says that it is about to leave. Resolves once the leader has answered. */
+  /** One upstream announces that it is draining. Resolves once the leader has answered. */
   async drain(at: number, drainRemainingMs = 60_000): Promise<void> {
     const upstream = this.#upstreams.get(addressOf(at))
     if (upstream === undefined) return
@@ -141,25 +141,25 @@
     await this.#announce(upstream)
   }
 
-  /** One upstream says that it goes, and is gone: nothing answers at its address any more. */
+  /** One upstream tells the leader that it leaves, and nothing answers at its address any more. */
   leave(at: number): void {
     void this.#leader?.leave(this.upstreamIdOf(at))
     this.crashForGood(at)
   }
 
-  /** One upstream is gone for good, and says nothing of it. */
+  /** One upstream crashes without notice, and nothing answers at its address any more. */
   crashForGood(at: number): void {
     const address = addressOf(at)
     this.#upstreams.get(address)?.crash()
     this.#cutUntilMs.set(address, Infinity)
   }
 
-  /** The room of one upstream shrinks or grows; its next announcement says so. */
+  /** Changes the capacity of one upstream; its next announcement contains the new one. */
   resize(at: number, accelerators: number): void {
     this.#upstreams.get(addressOf(at))?.resize(accelerators)
   }
 
-  /** One upstream announces itself no longer, and answers as before. */
+  /** One upstream no longer announces itself, but answers calls as before. */
   stopAnnouncing(at: number): void {
     this.#notAnnouncing.add(addressOf(at))
   }
@@ -180,7 +180,7 @@
   async #propose(command: Command, term: number) {
     await this.clock.sleep(commitMs)
     if (term === this.#term) return Right(this.commit(command))
-    return Left(new NettlespurError('not-leader', 'another leads'))
+    return Left(new NettlespurError('not-leader', 'another member leads'))
   }
 
   #nextLinkFault(address: string): LinkFault {
--- a/batch/service/__utils__/fakeMember.ts
+++ b/batch/service/__utils__/fakeMember.ts
@@ -1,4 +1,4 @@
-/** A member of control on loopback that answers as a test says. */
+/** A fake control member on loopback, whose answers the test sets. */
 import type { JobState } from '@nettlespur/batch.model'
 import { NettlespurError, tryAsync } from '@nettlespur/core.errors'
 import { createRpcServer } from '@nettlespur/rpc.peer'
@@ -17,16 +17,16 @@
 
 export interface FakeMember {
   readonly address: string
-  /** Jobs that reached it. */
+  /** Ids of the jobs submitted to this member. */
   readonly submitted: string[]
   view: LeaderView
-  /** How often it was asked who leads. */
+  /** How often this member was asked who leads. */
   locateCalls: number
-  /** What a submission or an announcement ends in: by default it is taken. */
+  /** Answers a submission or an announcement; accepts it by default. */
   answer: () => Promise<void>
-  /** Jobs whose state was asked for here. */
+  /** Ids of the jobs whose state this member was asked for. */
   readonly asked: string[]
-  /** What a question for a job's state ends in: by default the job is done. */
+  /** Answers a query for a job's state; `completed` by default. */
   answerState: () => Promise<JobState>
   stop(): Promise<void>
 }
@@ -53,7 +53,7 @@
   })
 }
 
-/** The calls of this process itself, without a connection. */
+/** An api for a client in the same process as the member, without a connection. */
 export function createLocalApi(submit: () => Promise<null>): BatchApi {
   return new FakeApi({
     submitted: [],
--- a/batch/service/__utils__/faultyPort.ts
+++ b/batch/service/__utils__/faultyPort.ts
@@ -1,4 +1,4 @@
-/** Orders to fake upstreams over links that lose answers, hold orders back, refuse and fall silent. */
+/** Sends orders to fake upstreams over links that lose answers, delay orders, refuse connections or go silent. */
 import {
   UpstreamPort,
   type HoldAnswer,
@@ -14,9 +14,10 @@
 import type { FakeUpstream } from '@nettlespur/batch.fakes'
 
 /**
- * What the link does with one call. `late`: it is carried out seconds later, and nothing is answered. `unread-rows` and
- * `hidden-rows`: every second row of a look cannot be read, and is left out of its lists. `invalid-starts`: a start is
- * refused as one that cannot be understood.
+ * What the link does with one call. `answer-lost`: the call is carried out, and its answer is lost. `late`: the call
+ * is carried out with a delay, and not answered. `refused`: the call fails as unreachable. `silent`: the call is
+ * neither carried out nor answered. `unread-rows` and `hidden-rows`: every second row in the answer to a hold cannot
+ * be read and is left out. `invalid-starts`: a start is refused as invalid.
  */
 export type LinkFault =
   | 'none'
@@ -28,24 +29,24 @@
   | 'hidden-rows'
   | 'invalid-starts'
 
-/** Over all upstreams; each is asked about ten times a second while rows are unread. */
+/** Counted over all upstreams. While rows are unread, each upstream gets about ten hold calls a second. */
 const holdsPerHiddenPhase = 150
 
 export interface FaultyPortOptions {
   clock: Clock
-  /** By address: the life that answers there now. */
+  /** The upstream that answers at an address now. */
   findUpstream: (address: string) => FakeUpstream | undefined
   nextFault: (address: string) => LinkFault
-  /** One way; calls on different connections overtake each other. */
+  /** The delay of the next message in its direction. Calls overtake each other, as on different connections. */
   nextLinkDelayMs: () => number
-  /** How much later a late order is carried out. */
+  /** The delay after which a late order is carried out. */
   nextLatenessMs: () => number
 }
 
 export class FaultyPort extends UpstreamPort {
-  /** Looks so far: an upstream at rest is not to be asked all the time. */
+  /** Hold calls so far. Tests bound them, as an idle upstream must not be polled all the time. */
   holdCalls = 0
-  /** Starts so far, refused ones included. */
+  /** Start calls so far, including refused ones. */
   startCalls = 0
   readonly #opts: FaultyPortOptions
 
@@ -113,8 +114,8 @@
 }
 
 /**
- * Which rows are left changes with the turn: each time, so that a run is now listed and now not, or slowly, so that it
- * is hidden for seconds.
+ * Leaves out every second row: the even or the odd ones, as `phase` is. A phase that changes with each answer lists a
+ * run in every second answer; one that changes slowly hides a run for seconds.
  */
 function leaveOutRows(answer: HoldAnswer, phase: number): HoldAnswer {
   if (answer.type !== 'held') return answer
--- a/batch/service/__utils__/group/checkRecovery.ts
+++ b/batch/service/__utils__/group/checkRecovery.ts
@@ -1,20 +1,20 @@
 /**
- * What a group owes once all is calm: a leader that all members name, and an answer to each read, soon and
- * from then on.
+ * Checks that a group recovers after its faults have ended: within a bound, all members name the same leader and each
+ * read is answered, and both stay so.
  */
 import { groupTimings, type ControlGroup } from './controlGroup.js'
 
 const { electionTimeoutMs } = groupTimings.raft
-/** The longest silence before a member stands, and the longest it then waits for votes. */
+/** The longest election timeout of a follower, and the longest time for which a candidate waits for votes. */
 const electionRoundMs = electionTimeoutMs * 1.5 + electionTimeoutMs
-/** Rounds in which nobody wins, as several stand at once or hear an old leader's last message. */
+/** A round may have no winner, as several members stand at once or hear a former leader's last message. */
 const electionRounds = 3
-/** A leader whose first read failed reads again after half a second. */
+/** A new leader whose first read has failed repeats it after half a second. */
 const firstReadRetryMs = electionTimeoutMs + 500
-/** All in all 6.5 s, half of what the platform gives from its last fault to its first question. */
+/** In total about 6.5 s, half of what the platform allows between its last fault and the first query. */
 export const readyMs = electionRounds * electionRoundMs + firstReadRetryMs
 
-/** What an entry waits for a call to the leader. */
+/** How long an entry waits for a call to the leader. */
 const readTimeoutMs = 700
 const pollEveryMs = 50
 const observationMs = 30_000
@@ -22,11 +22,11 @@
 const readsPerCheck = 3
 
 export interface RecoveryOutcome {
-  /** Until all members named the leader and it answered a read. */
+  /** Until all members named the leader and it answered a read; undefined if that took longer than `readyMs`. */
   readonly readyAfterMs: number | undefined
 }
 
-/** To be called when the troubles have just ended; faults go to the group's list. */
+/** Call this when the faults have just ended. Adds what fails to the group's violations. */
 export async function checkRecovery(group: ControlGroup): Promise<RecoveryOutcome> {
   const startMs = group.clock.monotonicMs()
   const elapsedMs = (): number => group.clock.monotonicMs() - startMs
@@ -38,7 +38,7 @@
     if ((await readRandomJobs(group, 1)).length === 0) readyAfterMs = agreedAfterMs
   }
   if (readyAfterMs === undefined) {
-    group.violations.push(`not ready ${readyMs} ms after the last trouble`)
+    group.violations.push(`not ready ${readyMs} ms after the last fault`)
     return { readyAfterMs }
   }
   await group.clock.advance(Math.max(0, readyMs - elapsedMs()))
@@ -54,11 +54,11 @@
   group.violations.push(...listDisagreeing(group), ...(await readRandomJobs(group, readCount)))
 }
 
-/** Members that do not name the leader of the highest term. */
+/** Describes each member that does not name the leader of the highest term. */
 function listDisagreeing({ leader, liveMembers }: ControlGroup): string[] {
   const term = Math.max(...liveMembers.map(({ node }) => node?.raft.describe().term ?? 0))
   const address = leader?.member.peerAddress
-  if (address === undefined) return ['nobody leads']
+  if (address === undefined) return ['no member leads']
   return liveMembers.flatMap(({ member, node }) => {
     const view = node?.locateLeader()
     const agrees = view?.leaderAddress === address && view.term === term
@@ -66,7 +66,7 @@
   })
 }
 
-/** Reads that were not answered in time. */
+/** Reads accepted jobs drawn at random; describes each read that was not answered in time. */
 async function readRandomJobs(group: ControlGroup, count: number): Promise<string[]> {
   const { acceptedJobIds, random } = group
   const jobIds = Array.from(
--- a/batch/service/__utils__/group/controlGroup.ts
+++ b/batch/service/__utils__/group/controlGroup.ts
@@ -1,4 +1,4 @@
-/** Five members of control on one manual clock, and a caller that hands in jobs all the time. */
+/** A control group of five members on one manual clock, and a caller that submits jobs at a fixed interval. */
 import { createJob } from '@nettlespur/batch.samples'
 import type { Member } from '@nettlespur/consensus.raft'
 import { createSeededRandom } from '@nettlespur/consensus.raft/fakes'
@@ -9,7 +9,7 @@
 import { GroupMember } from './groupMember.js'
 import { MemberLinks } from './memberLinks.js'
 
-/** Those of the platform's processes. */
+/** The timings of the platform's processes. */
 export const groupTimings: BatchTimings = {
   raft: { heartbeatMs: 150, electionTimeoutMs: 700, replaceVoterAfterMs: 2500, requestGapMs: 20 },
   session: { leaseMs: 9500, holdWaitMs: 2000 },
@@ -22,7 +22,7 @@
 const dataCentres = 3
 const bootstrapMs = 12_000
 const submitEveryMs = 200
-/** In calm, so that many schedules can be played. */
+/** After the faults have ended; fewer jobs let more schedules be simulated in the same time. */
 const recoverySubmitEveryMs = 1500
 
 export class ControlGroup {
@@ -30,9 +30,9 @@
   readonly random: () => number
   readonly links: MemberLinks
   readonly members: GroupMember[] = []
-  /** Jobs that were accepted. */
+  /** Ids of the jobs that were accepted. */
   readonly acceptedJobIds: string[] = []
-  /** Broken promises, in words. */
+  /** Descriptions of what the group should have done and did not. */
   readonly violations: string[] = []
   readonly trace: string[] = []
   #submittedJobs = 0
@@ -44,7 +44,7 @@
     this.links = new MemberLinks(this.clock, this.random, callTimeoutMs)
   }
 
-  /** A group that has a configuration, and five voters. */
+  /** Starts a group and waits until its five members vote and have a configuration. */
   static async bootstrap(seed: number): Promise<ControlGroup> {
     const group = new ControlGroup(seed)
     const founders = Array.from({ length: foundersCount }, (_, at) => createMember(at + 1))
@@ -58,7 +58,7 @@
     return group
   }
 
-  /** Starts a machine with an empty disk under the next number. */
+  /** Starts a member with an empty disk under the next number. */
   addMember(founders: readonly Member[] = []): void {
     const member = createMember(this.members.length + 1)
     const { clock, random, links } = this
@@ -83,7 +83,7 @@
       .sort((left, right) => termOf(right.node) - termOf(left.node))[0]
   }
 
-  /** Those that have a process. */
+  /** Members whose process is running. */
   get liveMembers(): GroupMember[] {
     return this.members.filter(({ isUp }) => isUp)
   }
@@ -99,7 +99,7 @@
       .join('\n')
   }
 
-  /** Fewer jobs come in from now on. */
+  /** Submits jobs at a longer interval from now on. */
   submitLessOften(): void {
     this.#submitEveryMs = recoverySubmitEveryMs
   }
--- a/batch/service/__utils__/group/diskState.ts
+++ b/batch/service/__utils__/group/diskState.ts
@@ -1,7 +1,7 @@
-/** How one disk is at present, whatever process uses it. */
+/** The simulated faults of one disk, which outlast the processes that use it. */
 import type { ManualClock } from '@nettlespur/core.clock'
 
-/** A sync of the smaller deployments takes 4 to 6 ms. */
+/** A sync takes 4 to 6 ms in the smaller deployments. */
 const syncMs = { shortest: 3, longest: 7 }
 const slowFactor = 40
 
@@ -34,7 +34,7 @@
     for (const resume of stalled) resume()
   }
 
-  /** The time a sync takes, and for how long the disk hangs. */
+  /** Resolves after the time that a sync takes, and not while the disk is stalled. */
   async sync(): Promise<void> {
     const { shortest, longest } = syncMs
     const tookMs = shortest + this.#random() * (longest - shortest)
@@ -42,7 +42,7 @@
     await this.waitWhileStalled()
   }
 
-  /** For how long the disk hangs. */
+  /** Resolves at once, or when the disk is no longer stalled. */
   async waitWhileStalled(): Promise<void> {
     while (this.#stalledCalls !== undefined) {
       const waiting = this.#stalledCalls
--- a/batch/service/__utils__/group/groupFaults.ts
+++ b/batch/service/__utils__/group/groupFaults.ts
@@ -1,19 +1,24 @@
-/** What befalls a group, drawn from its random numbers: troubles that overlap and come in series. */
+/** Injects faults into a control group, with targets and durations from its random numbers; faults may overlap. */
 import type { ControlGroup } from './controlGroup.js'
 import type { GroupMember } from './groupMember.js'
 
 export const groupFaultKinds = [
   'kill',
   'kill-all',
+  // A kill that loses unsynced data.
   'power',
   'power-all',
   'lose-disk',
+  // The member is removed for good, and a new one with an empty disk started.
   'replace',
   'freeze',
   'suspend',
   'isolate',
+  // Only the links to the member are cut.
   'deafen',
+  // One direction of one link is cut.
   'cut-way',
+  // The group is partitioned at random.
   'halves',
   'lossy',
   'slow-disk',
@@ -26,10 +31,10 @@
 ] as const
 export type GroupFaultKind = (typeof groupFaultKinds)[number]
 
-/** The tolerance of the deployments: so many members may be lost with what they hold. */
+/** The deployments tolerate the loss of this many members with their data. */
 const maxLostMembers = 2
 const leaderTargetShare = 0.45
-/** What a process is given to stop. */
+/** How long a process may take to stop. */
 const stopTimeoutMs = 6000
 const pollEveryMs = 50
 const faultDurationMs = { shortest: 100, longest: 4000 }
@@ -50,7 +55,7 @@
     const target = this.#pickTarget()
     const forMs =
       faultDurationMs.shortest + random() * (faultDurationMs.longest - faultDurationMs.shortest)
-    this.#group.note(`TROUBLE ${kind} ${target.member.memberId} ${Math.round(forMs)}`)
+    this.#group.note(`FAULT ${kind} ${target.member.memberId} ${Math.round(forMs)}`)
     const later = (run: () => void): void => void clock.setTimer(forMs, run)
     const others = members.filter((member) => member !== target)
     switch (kind) {
@@ -142,7 +147,7 @@
     }
   }
 
-  /** Ends all troubles: what was not removed for good is back, once those that are stopping have stopped. */
+  /** Ends all faults: waits for the members that are stopping, and starts every member that was not replaced. */
   async heal(): Promise<void> {
     const { members, links, clock } = this.#group
     this.#isHealed = true
@@ -153,10 +158,11 @@
     }
     const endMs = clock.monotonicMs() + stopTimeoutMs
     while (this.#stopping > 0 && clock.monotonicMs() < endMs) await clock.advance(pollEveryMs)
-    if (this.#stopping > 0) this.#group.violations.push(`${this.#stopping} do not stop`)
+    if (this.#stopping > 0)
+      this.#group.violations.push(`${this.#stopping} members did not stop in time`)
     for (const member of members) member.start()
     this.#group.submitLessOften()
-    this.#group.note('CALM')
+    this.#group.note('HEALED')
   }
 
   #pickTarget(): GroupMember {
--- a/batch/service/__utils__/group/groupMember.ts
+++ b/batch/service/__utils__/group/groupMember.ts
@@ -1,4 +1,4 @@
-/** One machine of a group: its disk, and the lives of the process on it. */
+/** One machine of a control group: its disk, and the processes that run on it one after the other. */
 import type { Member } from '@nettlespur/consensus.raft'
 import type { ManualClock } from '@nettlespur/core.clock'
 import { unwrap } from '@nettlespur/core.errors'
@@ -14,12 +14,12 @@
 import { MemberTransport } from './memberTransport.js'
 import { UnreachablePort } from './unreachablePort.js'
 
-/** As the platform does with a process that has ended by itself. */
+/** The platform restarts a process that has ended by itself after this time. */
 const restartMs = 300
-/** How often an instance that is no member asks to be added. */
+/** How often an instance that is not a member asks to be added. */
 const joinEveryMs = 300
 
-/** So small that snapshots are taken and installed all the time. */
+/** So small that snapshots are taken and installed often. */
 const limits = { snapshotEveryEntries: 40, keepEntries: 10, snapshotChunkBytes: 4096 }
 
 export interface GroupMemberOptions {
@@ -30,7 +30,7 @@
   links: MemberLinks
   logger: Logger
   timings: BatchTimings
-  /** Where to ask for being added. */
+  /** The member to ask for being added. */
   findLeaderId: () => string | undefined
 }
 
@@ -44,7 +44,7 @@
 
 export class GroupMember {
   readonly disk: DiskState
-  /** It never comes back. */
+  /** True once the machine has been replaced: it never starts again. */
   isRemoved = false
   readonly #opts: GroupMemberOptions
   #founders: readonly Member[]
@@ -69,7 +69,7 @@
     return this.#process?.clock.isPaused === true
   }
 
-  /** Undefined while the process is down or about to start. */
+  /** Undefined while the process is down or starting. */
   get node(): BatchNode | undefined {
     return this.#process?.node
   }
@@ -118,7 +118,7 @@
     this.#files = this.#files.kill()
   }
 
-  /** What was not synced is lost, in part or torn. */
+  /** Kills the process; unsynced data is lost, kept in part or torn. */
   losePower(): void {
     this.kill()
     const loss = lossKinds[Math.floor(this.#opts.random() * lossKinds.length)] ?? 'lost'
@@ -131,7 +131,7 @@
     this.#founders = []
   }
 
-  /** Hands the leadership over first. Resolves once the process has ended, however it did. */
+  /** Transfers leadership and stops the process. Resolves once it has ended, also if it was killed meanwhile. */
   async stop(): Promise<void> {
     const current = this.#process
     if (current === undefined) return
@@ -175,7 +175,7 @@
     void this.#keepMembership(started, node)
   }
 
-  /** As the processes do, which end also where a step of it fails. */
+  /** Stops the node as the platform's processes do: they end even if a step fails, so the error is only logged. */
   async #stopNode({ node }: StartedProcess): Promise<void> {
     try {
       await node?.raft.transferLeadership()
--- a/batch/service/__utils__/group/index.ts
+++ b/batch/service/__utils__/group/index.ts
@@ -1,4 +1,4 @@
-/** A group of control under troubles, on a manual clock. */
+/** Test utilities: a control group with injected faults, on a manual clock. */
 export { checkRecovery, readyMs } from './checkRecovery.js'
 export { ControlGroup, groupTimings } from './controlGroup.js'
 export { groupFaultKinds, type GroupFaultKind } from './groupFaults.js'
--- a/batch/service/__utils__/group/memberClock.ts
+++ b/batch/service/__utils__/group/memberClock.ts
@@ -1,17 +1,17 @@
 /**
- * The steady clock of one process on the clock of the world. Frozen, its timers wait although time goes on;
- * suspended, its time stands still as well.
+ * The monotonic clock of one process, driven by the clock of the group. While the process is frozen its timers do not
+ * fire although its time goes on; while it is suspended its time stands still as well.
  */
 import { sleepOn, type Clock, type ManualClock, type Timer } from '@nettlespur/core.clock'
 
-/** Sums of times differ by less than this; a shorter timer would be due at the same time for ever. */
+/** Sums of times differ by less than this; a shorter timer could become due again and again at the same time. */
 const roundingMs = 0.001
 
 export type PauseKind = 'freeze' | 'suspend'
 
 export class MemberClock implements Clock {
   readonly #groupClock: ManualClock
-  /** Of the time of the world, how much this process has not seen. */
+  /** The time of the group's clock that passed while this process was suspended. */
   #missedMs = 0
   #paused: { readonly kind: PauseKind; readonly sinceMs: number } | undefined
   #deferred: (() => void)[] = []
@@ -58,7 +58,7 @@
     return sleepOn(this, durationMs, signal)
   }
 
-  /** Resolves at once, or when the process goes on. */
+  /** Resolves at once, or when the process is resumed. */
   waitUntilResumed(): Promise<void> {
     if (this.#paused === undefined) return Promise.resolve()
     return new Promise((resolve) => {
--- a/batch/service/__utils__/group/memberFiles.ts
+++ b/batch/service/__utils__/group/memberFiles.ts
@@ -1,4 +1,4 @@
-/** The files of one life of a process: they take the time of the disk, and nothing more once it has ended. */
+/** The files of one process: calls take as long as its disk does, and never end once the process has ended. */
 import { FileSystem, OpenFile } from '@nettlespur/storage.log'
 import type { MemoryFileSystem } from '@nettlespur/storage.log/fakes'
 import type { DiskState } from './diskState.js'
@@ -19,11 +19,12 @@
     this.#opts = opts
   }
 
-  /** The process is gone: what it was about to do is never done. */
+  /** The process has ended: its pending calls are never carried out. */
   end(): void {
     this.#hasEnded = true
   }
 
+  /** For calls that a full disk does not refuse: reads, and also renames, removals and truncations. */
   async read<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
     await this.#opts.disk.waitWhileStalled()
     return this.#finish(run)
--- a/batch/service/__utils__/group/memberLinks.ts
+++ b/batch/service/__utils__/group/memberLinks.ts
@@ -1,17 +1,17 @@
-/** Links between the members of a group, in memory: messages take time, and links can be cut each way. */
+/** In-memory links between the members of a group: messages are delayed, and each direction can be cut by itself. */
 import type { ManualClock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { BatchNode } from '../../src/index.js'
 import type { MemberClock } from './memberClock.js'
 
-/** One way, over a few data centres. */
+/** In one direction, between data centres. */
 const longestDelayMs = 8
-/** A packet that was lost is sent again after some hundred milliseconds. */
+/** TCP sends a lost packet again after some hundred milliseconds. */
 const retransmitMs = { shortest: 200, longest: 700 }
-/** Of the messages on a cut link, how many are still delivered once it is whole again. */
+/** The share of the messages on a cut link that are delivered once it has healed; the others are lost. */
 const heldShare = 0.5
 
-/** One life of a member's process. */
+/** One process of a member, from its start to its end. */
 export interface MemberProcess {
   readonly memberId: string
   readonly clock: MemberClock
@@ -20,10 +20,11 @@
 }
 
 export class MemberLinks {
+  /** The running process of each member, by member id. */
   readonly processes = new Map<string, MemberProcess>()
-  /** Share of packets that are lost and sent again. */
+  /** The share of packets that are lost and sent again. */
   lossShare = 0
-  /** Ways that are cut, as `from to`. */
+  /** The directions that are cut, as `from to`. */
   readonly #cutDirections = new Set<string>()
   #heldMessages: (() => void)[] = []
   readonly #clock: ManualClock
@@ -52,7 +53,7 @@
   call<T>(from: MemberProcess, to: string, run: (node: BatchNode) => Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       const timer = from.clock.setTimer(this.#callTimeoutMs, () => {
-        reject(new NettlespurError('outcome-unknown', `no answer of ${to}`))
+        reject(new NettlespurError('outcome-unknown', `no answer from ${to}`))
       })
       const settle = (finish: () => void): void => {
         timer.cancel()
@@ -84,7 +85,7 @@
     await target.clock.waitUntilResumed()
     const [result] = await Promise.allSettled([run(target.node)])
     await target.clock.waitUntilResumed()
-    // What is never answered: either end is another process now.
+    // A call is never answered if the process at either end has ended meanwhile.
     if (target.hasEnded || from.hasEnded) await new Promise<never>(() => undefined)
     await this.#transmit(to, from.memberId)
     await from.clock.waitUntilResumed()
--- a/batch/service/__utils__/group/memberTransport.ts
+++ b/batch/service/__utils__/group/memberTransport.ts
@@ -1,4 +1,4 @@
-/** The messages of agreement of one life of a process. */
+/** The Raft transport of one process over the in-memory links. */
 import {
   RaftTransport,
   type AppendAnswer,
--- a/batch/service/__utils__/group/simulateGroup.ts
+++ b/batch/service/__utils__/group/simulateGroup.ts
@@ -1,11 +1,11 @@
-/** Plays one seed: a group, its troubles, and then calm. */
+/** Simulates one seed: a group with a random schedule of faults, and its recovery after them. */
 import { checkRecovery } from './checkRecovery.js'
 import { ControlGroup } from './controlGroup.js'
 import { GroupFaults, groupFaultKinds, type GroupFaultKind } from './groupFaults.js'
 
 const faultPhase = { shortestMs: 4000, longestMs: 20_000 }
 const maxFaults = 14
-/** Days often end with one of these. */
+/** Schedules often end with one of these faults. */
 const finalKinds: readonly GroupFaultKind[] = [
   'kill-all',
   'power-all',
--- a/batch/service/__utils__/group/unreachablePort.ts
+++ b/batch/service/__utils__/group/unreachablePort.ts
@@ -1,4 +1,4 @@
-/** Upstreams that never answer: a group of control alone. */
+/** A port without upstreams, for a control group by itself. */
 import { UpstreamPort } from '@nettlespur/batch.sessions'
 import { NettlespurError } from '@nettlespur/core.errors'
 
--- a/batch/service/__utils__/index.ts
+++ b/batch/service/__utils__/index.ts
@@ -1,4 +1,4 @@
-/** A fleet of fake upstreams with faulty links, for tests of the leader's work. */
+/** Test utilities: fake upstreams behind faulty links for the leader's work, and fake members for its clients. */
 export { FakeFleet, upstreamCount } from './fakeFleet.js'
 export type { FleetFault } from './fleetOptions.js'
 export { FaultyPort, type LinkFault } from './faultyPort.js'
--- a/batch/service/__utils__/memberGroup.ts
+++ b/batch/service/__utils__/memberGroup.ts
@@ -1,4 +1,4 @@
-/** Members on loopback behind links that can fail, and a client of theirs, on one manual clock. */
+/** Fake members on loopback behind links that can fail, and a client of the group, on one manual clock. */
 import { ManualClock } from '@nettlespur/core.clock'
 import { LeaderClient, type LeaderClientOptions } from '../src/index.js'
 import { peerKey, startFakeMember, type FakeMember } from './fakeMember.js'
@@ -6,8 +6,8 @@
 import { createRecorder } from './recorder.js'
 
 /**
- * Turns of the event loop without a byte after which all that was on its way has come. Each has a timer of
- * its own, since calls are gathered for a turn of Node's timers before they are sent.
+ * Turns of the event loop without a byte on any link after which no message is under way. Each turn includes a timer,
+ * since calls are batched for one turn of Node's timers before they are sent.
  */
 const idleTurns = 10
 
@@ -30,7 +30,7 @@
       clock: this.clock,
       peerKey,
       seeds: linked.map(({ link }) => link.address),
-      // Compression runs in other threads, and would be on its way unseen.
+      // Compression runs in other threads, so a message could be under way while the links are idle.
       compresses: false,
     })
   }
@@ -51,7 +51,7 @@
     return this.#linkedMember(at).link
   }
 
-  /** The members named say from now on that this one leads. */
+  /** From now on the members in `namedBy` name this one as the leader. */
   nameLeader(at: number, term: number, namedBy: readonly number[]): void {
     const memberAddresses = this.#linked.map(({ link }) => link.address)
     for (const each of namedBy) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Moves time on whenever nothing is on its way, until the work is over; gives how long it took. */
+  /** Advances the clock whenever no message is under way, until the work has ended; returns how long that took. */
   async settle<T>(work: Promise<T>): Promise<{ readonly outcome: T; readonly tookMs: number }> {
     const startMs = this.clock.monotonicMs()
     const ends: number[] = []
--- a/batch/service/__utils__/memberLink.ts
+++ b/batch/service/__utils__/memberLink.ts
@@ -1,17 +1,17 @@
-/** A TCP link to a member: what is open on it can go silent for good, and new connections too. */
+/** A TCP proxy in front of a member, whose open and new connections can go silent. */
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 import { Transform } from 'node:stream'
 
 export class MemberLink {
-  /** Pieces that were read on either side: while it stands still, nothing is on its way. */
+  /** Chunks read on either side: while this does not change, no data is under way. */
   chunksRead = 0
   connectionsOpened = 0
-  /** New connections are taken and carry nothing, as to a machine without power. */
+  /** New connections are accepted but carry no data, as to a machine without power. */
   isBlackholed = false
-  /** New connections are ended at once, as by a machine whose process was killed. */
+  /** New connections are closed at once, as by a machine whose process was killed. */
   isRefusing = false
-  /** Waited for before anything of the member's is passed on. */
+  /** Awaited before each chunk from the member is passed on. */
   delayAnswer: () => Promise<unknown> = () => Promise.resolve()
   readonly #server: Server
   readonly #clientSockets = new Set<Socket>()
@@ -47,19 +47,19 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`
   }
 
-  /** What is open ends, and new connections with it. */
+  /** Closes the open connections, and from now on each new one at once. */
   refuse(): void {
     this.isRefusing = true
     for (const socket of [...this.#clientSockets, ...this.#memberSockets]) socket.destroy()
   }
 
-  /** From now on the connections that are open carry nothing. */
+  /** From now on the open connections carry no data. */
   silence(): void {
     this.silenceRequests()
     mute(this.#memberSockets)
   }
 
-  /** From now on the connections that are open carry nothing towards the member; its answers still come. */
+  /** From now on the open connections carry no data to the member; its answers still pass. */
   silenceRequests(): void {
     mute(this.#clientSockets)
   }
@@ -71,7 +71,7 @@
     await closed
   }
 
-  /** Pieces pass one after the other; several may be held at a time. */
+  /** Delays chunks without blocking the ones after them: several may be delayed at a time. */
   #createDelay(): Transform {
     const delay: Transform = new Transform({
       transform: (chunk, _encoding, done) => {
@@ -89,7 +89,7 @@
 
   #track(side: Set<Socket>, socket: Socket): void {
     side.add(socket)
-    // Else the last bytes wait for an acknowledgement, for 40 ms of real time.
+    // Otherwise Nagle's algorithm holds the last bytes until an acknowledgement, for 40 ms of real time.
     socket.setNoDelay(true)
     socket.on('error', () => socket.destroy())
     socket.on('data', () => (this.chunksRead += 1))
--- a/batch/service/__utils__/recorder.ts
+++ b/batch/service/__utils__/recorder.ts
@@ -1,11 +1,11 @@
-/** A logger that keeps what is logged at info, and the figures beside it. */
+/** A logger that keeps its lines from the level info on, and a metrics registry. */
 import type { LogEvent, Logger } from '@nettlespur/core.logger'
 import { MetricsRegistry } from '@nettlespur/core.metrics'
 
 export interface Recorder {
   readonly logger: Logger
   readonly metrics: MetricsRegistry
-  /** The lines of one event so far. */
+  /** The lines logged so far with this event. */
   readonly named: (event: string) => LogEvent[]
 }
 
--- a/batch/service/__utils__/silentLogger.ts
+++ b/batch/service/__utils__/silentLogger.ts
@@ -1,8 +1,8 @@
-/** For tests to which lines are of no interest. */
+/** A logger that discards its lines, for tests that check none. */
 import type { Logger } from '@nettlespur/core.logger'
 
 export const silentLogger: Logger = { debug: ignore, info: ignore, warn: ignore, error: ignore }
 
 function ignore(): void {
-  // Nothing is written.
+  // Discards the line.
 }
--- a/batch/service/__utils__/startFleet.ts
+++ b/batch/service/__utils__/startFleet.ts
@@ -1,7 +1,7 @@
-/** A fleet whose leader has taken over and has heard all upstreams, over links that do no harm. */
+/** Starts a fleet without link faults, whose leader has heard the announcements of all upstreams. */
 import { FakeFleet } from './fakeFleet.js'
 
-/** Longer than the upstreams take to announce themselves. */
+/** Longer than the upstreams take until all have announced themselves. */
 export const settledMs = 2000
 
 export async function startFleet(): Promise<FakeFleet> {
--- a/batch/service/__utils__/startWatchedGroup.ts
+++ b/batch/service/__utils__/startWatchedGroup.ts
@@ -1,13 +1,13 @@
-/** Some members of which the first leads, and a client that keeps its way to the leader fresh. */
+/** Starts fake members, of which the first leads, and a client that watches the leader. */
 import type { ExecutionContext } from 'ava'
 import { MemberGroup } from './memberGroup.js'
 
-/** As the platform's processes have them. */
+/** The timings of the platform's processes. */
 const timings = { callTimeoutMs: 700, patienceMs: 1000 }
-/** Longer than the watch waits between looks. */
+/** Longer than the watch waits between two checks of the leader. */
 const firstCheckMs = 1500
 
-/** Stopped with the test. The watch has found the leader. */
+/** Resolves once the watch has found the leader. The group stops with the test. */
 export async function startWatchedGroup(
   t: ExecutionContext,
   memberCount = 3,
