--- a/batch/service/test/announceWithoutLeader.test.ts
+++ b/batch/service/test/announceWithoutLeader.test.ts
@@ -1,13 +1,13 @@
 /**
- * What users saw: while two of five members were cut off, upstreams that were about to leave told those two first. Each held
- * the announcement for 0.9 s before it was refused, and work went on being placed on upstreams that were leaving.
+ * Guards against members that hold announcements although they reach no leader: an upstream that is about to leave
+ * loses about a second at each member that is cut off, and meanwhile work is still placed on it.
  */
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
 import { startWatchedGroup, type MemberGroup } from '../__utils__/index.js'
 
 const all = [0, 1, 2, 3, 4]
-/** Well within the second after which an upstream tries another member by itself. */
+/** Well below the second after which an upstream tries another member by itself. */
 const maxRefusalMs = 400
 
 async function announce({ client, clock }: MemberGroup) {
@@ -35,7 +35,7 @@
   group.member(0).view = { ...group.member(0).view, leaderAddress: undefined }
 }
 
-test('an announcement is refused soon where no leader is found', async (t) => {
+test('an announcement is refused soon if no leader is found', async (t) => {
   const group = await startWatchedGroup(t, all.length)
   stepDown(group)
   const { isAccepted, kind, tookMs } = (await group.settle(announce(group))).outcome
--- a/batch/service/test/batchLeader.test.ts
+++ b/batch/service/test/batchLeader.test.ts
@@ -1,14 +1,14 @@
-/** What the leader does in single situations, on a manual clock. */
+/** Single scenarios of the leader's work, on a manual clock. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { FakeFleet, settledMs, startFleet, upstreamCount } from '../__utils__/index.js'
 
-/** An upstream ends a run at the latest this long after it is told to. */
+/** An upstream ends a run at most this long after the order to stop it. */
 const stopMs = 400
-/** The longest that an upstream runs on without being told to, with what its clock may lag. */
+/** The longest time for which an upstream keeps its runs without a new lease, including the lag of its clock. */
 const leaseMs = 9500 * 1.03
 
-/** Takes a whole upstream for each task. */
+/** Creates a gang job of which each task needs a whole upstream. */
 function createWholeUpstreamJob(jobId: string, taskCount: number, expectedRunTimeMs = 10_000) {
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   return createJob(jobId, { taskCount, needs, expectedRunTimeMs, isGang: true })
@@ -18,7 +18,7 @@
   return fleet.ledger.starts.filter((run) => run.jobId === jobId).length
 }
 
-test('an upstream that is about to leave is recorded before it is answered, and gets no more work', async (t) => {
+test('a draining upstream is recorded as such before its announcement is answered, and gets no more work', async (t) => {
   const fleet = await startFleet()
   const draining = fleet.drain(0)
   let isRecorded: boolean | undefined
@@ -34,7 +34,7 @@
   t.is(fleet.ledger.starts.length, upstreamCount - 1)
 })
 
-test('the next leader still knows which upstream is about to leave', async (t) => {
+test('a new leader knows which upstream is draining', async (t) => {
   const fleet = await startFleet()
   const draining = fleet.drain(0)
   await fleet.clock.advance(settledMs)
@@ -47,7 +47,7 @@
   t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
 })
 
-test('what runs of a cancelled job is stopped, and what waits of it never starts', async (t) => {
+test('the running tasks of a cancelled job are stopped, and its waiting tasks never start', async (t) => {
   const fleet = await startFleet()
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   fleet.submit(createJob('j', { taskCount: 6, needs, expectedRunTimeMs: 5000 }), 1)
@@ -61,7 +61,7 @@
   t.is(countStarted(fleet, 'j'), upstreamCount)
 })
 
-test('guaranteed work begins once those who borrow its accelerators have stopped', async (t) => {
+test('guaranteed work starts once the runs that borrow its accelerators have stopped', async (t) => {
   const fleet = await startFleet()
   fleet.submit(createWholeUpstreamJob('borrower', upstreamCount), 1)
   await fleet.clock.advance(settledMs)
@@ -73,7 +73,7 @@
   t.deepEqual(fleet.ledger.violations, [])
 })
 
-test('a gang of which one start stays unanswered is given up before its members wait in vain', async (t) => {
+test('a gang with an unanswered start is stopped before its started members give up waiting for it', async (t) => {
   const fleet = await startFleet()
   fleet.inject({ kind: 'cut', upstream: 0, forMs: 20_000 })
   fleet.submit(createWholeUpstreamJob('gang', upstreamCount, 1000), 1)
@@ -83,13 +83,13 @@
   t.deepEqual(left, [fleet.upstreamIdOf(0)])
 })
 
-/** Number of the upstream on which the only task of the job is placed. */
+/** Index of the upstream on which the only task of the job is placed. */
 function findUpstreamIndex(fleet: FakeFleet, jobId: string): number {
   const upstreamId = fleet.state.jobs.get(jobId)?.steps[0]?.tasks[0]?.upstreamId ?? ''
   return fleet.listUpstreamIds().indexOf(upstreamId)
 }
 
-test('what ran on an upstream that has left starts elsewhere at once, and not after a silence', async (t) => {
+test('a run on an upstream that has announced that it leaves starts elsewhere at once, without a timeout', async (t) => {
   const fleet = await startFleet()
   fleet.submit(createWholeUpstreamJob('j', 1), 1)
   await fleet.clock.advance(settledMs)
@@ -99,7 +99,7 @@
   t.is(countStarted(fleet, 'j'), 2)
 })
 
-test('what ran on an upstream that is lost for good starts elsewhere once its lease is over', async (t) => {
+test('a run on an upstream that is lost for good starts elsewhere once its lease is over', async (t) => {
   const fleet = await startFleet()
   fleet.submit(createWholeUpstreamJob('j', 1, 60_000), 1)
   await fleet.clock.advance(settledMs)
@@ -109,7 +109,7 @@
   t.is(countStarted(fleet, 'j'), 2)
 })
 
-test('what cannot end before its upstream leaves starts elsewhere at once, and what can is left to end', async (t) => {
+test('a run that cannot end before its upstream leaves starts elsewhere at once, and one that can is left to end', async (t) => {
   const fleet = await startFleet()
   fleet.submit(createWholeUpstreamJob('long', 1, 20_000), 1)
   fleet.submit(createWholeUpstreamJob('short', 1, 4000), 1)
@@ -123,7 +123,7 @@
   t.is(fleet.state.jobs.get('short')?.status, 'completed')
 })
 
-test('what saves its progress works on until shortly before its upstream leaves', async (t) => {
+test('a run that saves checkpoints goes on until shortly before its upstream leaves', async (t) => {
   const fleet = await startFleet()
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   fleet.submit(createJob('j', { needs, expectedRunTimeMs: 20_000, checkpoints: true }), 1)
@@ -135,9 +135,9 @@
   t.is(countStarted(fleet, 'j'), 2)
 })
 
-/** Three announcements are missing by then, and some. */
+/** Longer than three announcement intervals. */
 const missedAnnouncementsMs = 5000
-/** Far below the time to the next announcement. */
+/** Far shorter than the announcement interval. */
 const takeoverMs = 500
 
 test('a new leader gives work to idle upstreams before they announce themselves to it', async (t) => {
@@ -149,7 +149,7 @@
   t.is(fleet.ledger.starts.length, upstreamCount)
 })
 
-test('a new leader gives no work to an upstream that answers nothing', async (t) => {
+test('a new leader gives no work to an upstream that does not answer', async (t) => {
   const fleet = await startFleet()
   fleet.inject({ kind: 'cut', upstream: 0, forMs: 20_000 })
   fleet.elect()
@@ -160,7 +160,7 @@
   t.is(fleet.state.placements.on(fleet.upstreamIdOf(0)).size, 0)
 })
 
-test('a new leader stops nothing for work that upstreams have room for which answer a little later', async (t) => {
+test('a new leader preempts nothing for work that fits on upstreams which answer a little later', async (t) => {
   const fleet = new FakeFleet({ clockRate: 1, lateMs: 1000, failures: [], linksMs: [1, 60] })
   fleet.elect()
   await fleet.clock.advance(settledMs)
--- a/batch/service/test/callLog.test.ts
+++ b/batch/service/test/callLog.test.ts
@@ -1,4 +1,4 @@
-/** What is left in the log of calls to the leader: enough to follow one job, and no more a second. */
+/** What the log keeps of calls to the leader: enough to follow one job, in a bounded number of lines a second. */
 import { ManualClock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
@@ -35,7 +35,7 @@
   return { clock, log, note, ...recorder }
 }
 
-test('reads that are answered in time are named together in one line a second', async (t) => {
+test('reads that are answered in time share one summary line a second', async (t) => {
   const { clock, note, named } = createFixture()
   await note('a', 'read')
   await note('b', 'read', { tookMs: 40 })
@@ -50,7 +50,7 @@
   t.is(named('calls.answered').length, 1)
 })
 
-test('a slow read says what it waited on, how old the belief was and what its caller gave it', async (t) => {
+test('the line of a slow read shows its attempts, how long its leader was known and the deadline of its caller', async (t) => {
   const { note, named } = createFixture()
   await note('a', 'read', { tookMs: 720, wait: { deadlineMs: 3000 } })
   t.like(named('call.answered')[0], {
@@ -69,14 +69,14 @@
   t.deepEqual(named('call.answered')[0]?.attemptEnds, [`done@${leader}+720ms`])
 })
 
-test('a read whose caller went away before its answer has a line, however fast it was', async (t) => {
+test('a read whose caller left before the answer has its own line, however fast it was', async (t) => {
   const { note, named, metrics } = createFixture()
   await note('a', 'read', { wait: { gone: AbortSignal.abort() } })
   t.like(named('call.answered'), [{ subject: 'a', outcome: 'done', callerIsGone: true }])
   t.is(metrics.counterValue('calls_call_read_caller_gone_total'), 1)
 })
 
-test('each failed call and each change has a line, and what is repeated by itself none', async (t) => {
+test('each failed call and each change has its own line, and a repeated call that succeeds has none', async (t) => {
   const { clock, note, named } = createFixture()
   const error = new NettlespurError('outcome-unknown', 'silent')
   await note('a', 'read', { error })
@@ -106,14 +106,14 @@
   t.is((named('calls.answered')[0]?.subjects as string[]).length, 150)
 })
 
-test('what waits for its summary is written at the end of the process', async (t) => {
+test('closing the log writes the pending summary', async (t) => {
   const { log, note, named } = createFixture()
   await note('a', 'read')
   log.close()
   t.like(named('calls.answered'), [{ calls: 1 }])
 })
 
-test('a search for the leader is counted with its time', async (t) => {
+test('a search for the leader is counted, and its duration recorded', async (t) => {
   const clock = new ManualClock()
   const trace = new CallTrace(clock, {})
   const found = trace.search(() => clock.sleep(300))
@@ -122,7 +122,7 @@
   t.like(trace.describe(), { tookMs: 300, searches: 1, searchMs: 300, attempts: 0 })
 })
 
-test('a call of a member that has no outcome yet is shown as open', async (t) => {
+test('an attempt that has no outcome yet is shown as open', async (t) => {
   const clock = new ManualClock()
   const trace = new CallTrace(clock, {})
   trace.startAttempt(belief)
--- a/batch/service/test/crashingTasks.test.ts
+++ b/batch/service/test/crashingTasks.test.ts
@@ -1,4 +1,4 @@
-/** Tasks that bring down the upstreams that start them, beside work that has nothing to do with it. */
+/** Tasks that crash the upstreams that start them, next to unrelated jobs. */
 import type { RunRef } from '@nettlespur/batch.model'
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
@@ -19,7 +19,7 @@
   return fleet.state.jobs.get(jobId)?.status
 }
 
-test('a task that crashes each upstream that starts it is not started without end', async (t) => {
+test('a task that crashes every upstream that starts it is given up, and its job fails', async (t) => {
   const fleet = startFleet(({ jobId }) => jobId === 'poison')
   fleet.submit(createJob('poison', { expectedRunTimeMs: 800 }), 0)
   await fleet.clock.advance(settledMs)
@@ -27,7 +27,7 @@
   t.is(statusOf(fleet, 'poison'), 'failed')
 })
 
-test('a gang of which one member crashes its upstream is not started without end', async (t) => {
+test('a gang with a member that crashes its upstream is given up, and its job fails', async (t) => {
   const fleet = startFleet(({ jobId, index }) => jobId === 'poison' && index === 1)
   const needs = { cpuMillicores: 1000, memoryMiB: 1000, accelerators: 5 }
   fleet.submit(createJob('poison', { isGang: true, taskCount: 3, needs }), 0)
@@ -36,7 +36,7 @@
   t.is(statusOf(fleet, 'poison'), 'failed')
 })
 
-test('a crashing task that each new leader finds under way is not started without end', async (t) => {
+test('a crashing task is given up although leaders change between its crashes', async (t) => {
   const fleet = startFleet(({ jobId }) => jobId === 'poison')
   fleet.submit(createJob('poison', {}), 0)
   for (let second = 0; second < settledMs / 1000; second++) {
@@ -47,7 +47,7 @@
   t.is(statusOf(fleet, 'poison'), 'failed')
 })
 
-test('sound work is done although crashing tasks bring down what it runs on', async (t) => {
+test('sound jobs complete although crashing tasks bring down the upstreams that they run on', async (t) => {
   const fleet = startFleet(({ jobId }) => jobId.startsWith('poison'))
   for (let at = 0; at < 8; at++) {
     fleet.submit(createJob(`sound${at}`, { taskCount: 3, expectedRunTimeMs: 4000 }), 1)
@@ -67,7 +67,7 @@
   t.deepEqual(fleet.ledger.violations, [])
 })
 
-test('an upstream that crashes by itself over and over has no sound job given up', async (t) => {
+test('no sound job is given up because an upstream keeps crashing by itself', async (t) => {
   const fleet = startFleet(() => false)
   for (let at = 0; at < 6; at++) {
     fleet.submit(createJob(`sound${at}`, { taskCount: 4, expectedRunTimeMs: 3000 }), 1)
@@ -103,7 +103,7 @@
   ),
 })
 
-test('whichever tasks crash their upstreams, under whichever leaders, none is started three times more after three crashes', async (t) => {
+test('with any crashing tasks and leader changes, no task is started three more times after three crashes', async (t) => {
   await fc.assert(
     fc.asyncProperty(schedule, async ({ crashing, jobs, electionsAtMs, cuts }) => {
       const fleet = startFleet(({ jobId }) => crashing.some((at) => jobId === `job${at}`))
--- a/batch/service/test/foreignAnnouncements.test.ts
+++ b/batch/service/test/foreignAnnouncements.test.ts
@@ -1,4 +1,4 @@
-/** Announcements of other writers at the leader: what is known of other upstreams, and of the same one, holds. */
+/** Announcements from outdated or foreign senders: they must not change what the leader knows of its upstreams. */
 import type { Announcement } from '@nettlespur/batch.model'
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
@@ -6,7 +6,7 @@
 
 const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
 
-/** What an upstream of the fleet says of itself, in the words of another writer. */
+/** Copies the announcement of the first upstream, with `fields` as another sender would set them. */
 function createAnnouncement(fleet: FakeFleet, fields: Partial<Announcement>): Announcement {
   const description = fleet.state.upstreams.get(fleet.upstreamIdOf(0))?.description
   if (description === undefined) throw new Error('the fleet has not announced itself')
@@ -19,14 +19,14 @@
   await heard
 }
 
-/** Upstreams on which work starts if each is asked for one task that fills it. */
+/** Submits tasks that each fill an upstream, and returns how many start: one on each usable upstream. */
 async function countUsableUpstreams(fleet: FakeFleet): Promise<number> {
   fleet.submit(createJob('j', { taskCount: 6, needs, expectedRunTimeMs: 60_000 }), 1)
   await fleet.clock.advance(settledMs)
   return new Set(fleet.ledger.starts.map(({ index }) => index)).size
 }
 
-test('an announcement of a pool that is not configured does not undo the last good one of the same id', async (t) => {
+test('an announcement with a pool that is not configured does not replace the last valid one of the same id', async (t) => {
   const fleet = await startFleet()
   const upstreamId = fleet.upstreamIdOf(0)
   const before = fleet.state.upstreams.get(upstreamId)
@@ -35,14 +35,14 @@
   t.is(await countUsableUpstreams(fleet), upstreamCount)
 })
 
-test('an announcement of a pool that is not configured changes nothing of another upstream at its address', async (t) => {
+test('an announcement with a pool that is not configured does not affect another upstream at its address', async (t) => {
   const fleet = await startFleet()
   await announce(fleet, createAnnouncement(fleet, { upstreamId: 'foreign', pool: 'unknown' }))
   t.false(fleet.state.upstreams.has('foreign'))
   t.is(await countUsableUpstreams(fleet), upstreamCount)
 })
 
-test('an upstream of a pool that is dropped can still say that it is about to leave', async (t) => {
+test('an upstream whose pool was removed from the configuration can still announce that it is draining', async (t) => {
   const fleet = await startFleet()
   const { config } = fleet.state
   if (config === undefined) return t.fail()
@@ -51,7 +51,7 @@
   t.true(fleet.state.upstreams.get(fleet.upstreamIdOf(0))?.isDraining)
 })
 
-test('a late announcement of a life that is over does not keep the next life at its address from work', async (t) => {
+test('a late announcement of a former process does not keep the next one at its address from getting work', async (t) => {
   const fleet = await startFleet()
   const late = createAnnouncement(fleet, { upstreamId: 'former-life', sequence: 1 })
   await announce(fleet, late)
--- a/batch/service/test/fullDisks.test.ts
+++ b/batch/service/test/fullDisks.test.ts
@@ -1,8 +1,7 @@
 /**
- * Members whose disks were full for a moment. The model of a calm group showed on its seeds 20 and 26 that such
- * a member takes part no more until its process starts again: after 0.5 s without room it still refused every
- * entry and every vote as `disk-full` 16 s later, and named a leader of old. Three of them in turn, and a group of
- * five has no majority that writes, though no disk is full any more.
+ * Guards against members that stay out of the group after their disk was full for a moment: such a member goes on
+ * refusing every entry and every vote as `disk-full` until its process restarts, and names a former leader. Once this
+ * has happened to three of five members in turn, no majority can write although no disk is full any more.
  */
 import test from 'ava'
 import { checkRecovery, ControlGroup, simulateGroup } from '../__utils__/group/index.js'
@@ -10,7 +9,7 @@
 const fullMs = 600
 const pauseMs = 5000
 
-test('a group whose disks were full one after the other, each for a moment, answers as before', async (t) => {
+test('a group recovers after each of its disks in turn was full for a moment', async (t) => {
   const group = await ControlGroup.bootstrap(1)
   for (const { disk } of group.members) {
     disk.isFull = true
@@ -23,7 +22,7 @@
   t.truthy(readyAfterMs)
 })
 
-test('schedules with full disks after which members took part no more are survived', async (t) => {
+test('a group recovers from fault schedules with full disks that can leave members out', async (t) => {
   for (const seed of [20, 26]) {
     const { group } = await simulateGroup(seed)
     t.deepEqual(group.violations, [], `seed ${seed}\n${group.describe()}`)
--- a/batch/service/test/goneUpstream.test.ts
+++ b/batch/service/test/goneUpstream.test.ts
@@ -1,11 +1,8 @@
 /**
- * What users saw: a job was running to the end, though nothing of it ran anywhere. An upstream crashed and its next
- * life answered; while the ends of all that was placed on the former life were being committed, another placement
- * there was committed, and its start was told that the life is over. The session had given up by then, and nobody
- * ended that run.
- *
- * Evidence: in a log of separate processes under faults, `upstream.gone` with one run at 05.534, `placement.decided`
- * of the other at 05.551, its `run.start` with the answer `gone` at 05.554, and no `run.ended` after it.
+ * Guards against a run that stays recorded as running although its upstream has restarted. An upstream crashes, and a
+ * new process with another upstream id answers at its address. While the session commits the ends of all runs placed
+ * on the old id, one more placement on that id is committed, and its start is answered `gone`. If the session stops
+ * after the first commit, nothing ends that run.
  */
 import { runKey } from '@nettlespur/batch.model'
 import { createConfig, createJob, createUpstream } from '@nettlespur/batch.samples'
@@ -33,7 +30,7 @@
 const startMs = 5
 const gone = { type: 'gone', clockMs: undefined } as const
 
-/** Another life answers at its address. */
+/** Answers as an upstream whose address now belongs to a process with another upstream id. */
 class RestartedUpstreamPort extends UpstreamPort {
   readonly #clock: ManualClock
 
@@ -56,12 +53,12 @@
   }
 }
 
-/** Commits over the real state, after a moment. */
+/** Applies commits to a real state after `commitMs`. */
 class SlowHost extends SessionHost {
   override readonly fence = 1
   readonly state = new BatchState()
   readonly gone: string[] = []
-  /** Commits that fail first. */
+  /** How many of the next commits fail. */
   failingCommits = 0
   readonly #clock: ManualClock
 
@@ -105,7 +102,7 @@
   }
 
   override abandonGang(): void {
-    // No gangs here.
+    // The job of these tests is no gang.
   }
 
   override noteGone(goneId: string): void {
@@ -129,10 +126,10 @@
   return { clock, host, session }
 }
 
-test('a run that is placed on an upstream while its end is being committed ends too', async (t) => {
+test('a run that is placed on a gone upstream while the ends of earlier runs are being committed is ended too', async (t) => {
   const { clock, host, session } = startSession()
   session.start(host.place(0))
-  // The first look tells of it at once, so its end is committed a millisecond later.
+  // The first hold is answered `gone` at once, so the end of this run is committed one millisecond after this pause.
   await clock.advance(commitMs - 1)
   const late = host.place(1)
   session.start(late)
@@ -141,7 +138,7 @@
   t.deepEqual(host.gone, [upstreamId])
 })
 
-test('the ends of an upstream that is gone are proposed again where their commit fails', async (t) => {
+test('the ends of the runs on a gone upstream are proposed again if their commit fails', async (t) => {
   const { clock, host, session } = startSession()
   host.failingCommits = 3
   session.start(host.place(0))
--- a/batch/service/test/housekeeper.test.ts
+++ b/batch/service/test/housekeeper.test.ts
@@ -1,4 +1,4 @@
-/** What is forgotten, and when, on a manual clock. */
+/** When ended jobs and upstreams that left are forgotten, on a manual clock. */
 import { createConfig, createJob, createUpstream } from '@nettlespur/batch.samples'
 import { BatchState, type Command } from '@nettlespur/batch.state'
 import { ManualClock } from '@nettlespur/core.clock'
@@ -6,7 +6,7 @@
 import { Housekeeper } from '../src/housekeeper.js'
 
 const keepEndedMs = 60_000
-/** Longer than the life of an upstream that left is kept. */
+/** Longer than an upstream that left is kept. */
 const forgetLeftMs = 601_000
 
 function startHousekeeper() {
@@ -30,7 +30,7 @@
   state.apply({ type: 'submit-job', request, workspace: 'w1', queueName: 'queue1' })
 }
 
-test('a job that ended is forgotten once nobody asks for it any more, and an open one is kept', async (t) => {
+test('a job that ended is forgotten after its retention time, and an open one is kept', async (t) => {
   const { state, advanceAndRun } = startHousekeeper()
   submit(state, 'ended')
   submit(state, 'open')
@@ -42,7 +42,7 @@
   t.deepEqual([...state.jobs.keys()], ['open'])
 })
 
-test('an upstream that left is forgotten late, and not while it holds a run', async (t) => {
+test('an upstream that left is forgotten after ten minutes, but not while it holds a run', async (t) => {
   const { state, advanceAndRun } = startHousekeeper()
   for (const upstreamId of ['left', 'busy', 'here']) {
     state.apply({ type: 'note-upstream', description: createUpstream(upstreamId) })
--- a/batch/service/test/jobClock.test.ts
+++ b/batch/service/test/jobClock.test.ts
@@ -1,4 +1,4 @@
-/** How long jobs have waited, as members know it. */
+/** Waiting times of jobs, which every member tracks. */
 import { createConfig, createJob } from '@nettlespur/batch.samples'
 import { BatchState, type Command } from '@nettlespur/batch.state'
 import test from 'ava'
@@ -19,21 +19,21 @@
   return { type: 'submit-job', request: createJob(jobId, {}), workspace: 'w1', queueName: 'queue0' }
 }
 
-test('a member that takes the lead later knows since when a job has waited', (t) => {
+test('a member that becomes leader later knows how long a job has waited', (t) => {
   const { state, jobClock, apply } = createFixture()
   apply(submit('j'), 1000)
   jobClock.update(state, 6000)
   t.is(jobClock.waitedMs('j', 6000), 5000)
 })
 
-test('a job handed in twice has waited since the first time', (t) => {
+test('a job that is submitted twice has waited since the first submission', (t) => {
   const { jobClock, apply } = createFixture()
   apply(submit('j'), 1000)
   apply(submit('j'), 3000)
   t.is(jobClock.waitedMs('j', 4000), 3000)
 })
 
-test('what is forgotten takes no room on a member that never leads', (t) => {
+test('a forgotten job leaves no entry on a member that never leads', (t) => {
   const { jobClock, apply } = createFixture()
   apply(submit('j'), 1000)
   apply({ type: 'cancel-job', jobId: 'j' }, 2000)
@@ -41,7 +41,7 @@
   t.is(jobClock.acceptedAtMs.size, 0)
 })
 
-test('a job that came with a snapshot counts from when it is first looked at', (t) => {
+test('a job that came with a snapshot has waited since the first update after it', (t) => {
   const { state } = createFixture()
   state.apply(submit('j'))
   const jobClock = new JobClock()
--- a/batch/service/test/leaderClient.test.ts
+++ b/batch/service/test/leaderClient.test.ts
@@ -1,4 +1,4 @@
-/** Finding the leader, and what a caller is told where that fails. */
+/** How the client finds the leader, and which error a caller gets if it finds none. */
 import { createJob } from '@nettlespur/batch.samples'
 import { SystemClock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -55,7 +55,7 @@
   }
 }
 
-test('a member that is not a seed is found through one that is', async (t) => {
+test('a leader that is not a seed is found through a seed that names it', async (t) => {
   const [seed, leader] = await startMembers(t)
   nameLeader(leader, 1, seed)
   const outcome = await submit(createClient(t, [seed], 5000))
@@ -63,8 +63,8 @@
   t.deepEqual([seed.submitted, leader.submitted], [[], ['j']])
 })
 
-test('of two members that name different leaders the one of the higher term is believed', async (t) => {
-  // On the manual clock: beside load one of two answers can come after the 300 ms of a search, and not be heard in it.
+test('if two members name different leaders, the call goes to the one of the higher term', async (t) => {
+  // Uses the manual clock: under load one of the two answers could come after the 300 ms of a search and be missed.
   const group = await MemberGroup.start(2, { callTimeoutMs: 5000, patienceMs: 5000 })
   t.teardown(() => group.stop())
   group.nameLeader(0, 1, [0])
@@ -74,7 +74,7 @@
   t.deepEqual([group.member(0).submitted, group.member(1).submitted], [[], ['j']])
 })
 
-test('a leader that has stepped down names the next one', async (t) => {
+test('a call that a former leader refuses is sent to the leader that the refusal names', async (t) => {
   const [former, leader] = await startMembers(t)
   nameLeader(former, 1, former)
   former.answer = () =>
@@ -83,7 +83,7 @@
   t.deepEqual(leader.submitted, ['j'])
 })
 
-test('a call that found no leader has not run, and the caller is told when to come back', async (t) => {
+test('a call that finds no leader fails as not run, with a delay after which to retry', async (t) => {
   const [seed] = await startMembers(t)
   const error = (await submit(createClient(t, [seed], 200))).swap().unsafeCoerce()
   t.is(error.kind, 'not-leader')
@@ -91,13 +91,13 @@
   t.true((error.retryAfterMs ?? 0) > 0)
 })
 
-test('a call that may have reached a leader is never told to have not run', async (t) => {
-  // On the manual clock: on a busy machine the search alone could take the time, and the call reach nobody.
+test('a call that may have reached a leader is never reported as not run', async (t) => {
+  // Uses the manual clock: on a busy machine the search alone could use up the time, and the call reach no member.
   const group = await MemberGroup.start(2, { callTimeoutMs: 300, patienceMs: 300 })
   t.teardown(() => group.stop())
   group.nameLeader(0, 1, [0, 1])
   group.member(0).answer = () => {
-    // Whoever is asked from now on knows no leader, so the last try ends as certain as can be.
+    // From now on no member knows a leader, so the last attempt by itself is certain not to have run.
     for (const at of [0, 1]) group.member(at).view = { term: 2, memberAddresses: [] }
     return Promise.reject(new NettlespurError('outcome-unknown', 'in doubt'))
   }
@@ -108,13 +108,13 @@
   t.is(error.answer.ran, 'unknown')
 })
 
-test('a member that was just elected and is not ready yet is given the time to become so', async (t) => {
+test('a call waits for a newly elected leader that is not ready yet', async (t) => {
   const [elected] = await startMembers(t)
   nameLeader(elected, 1, elected)
   let isReady = false
   const api = createLocalApi(() => {
     if (isReady) return Promise.resolve(null)
-    // What makes it ready comes as an event: it is handled only once this process gets round to it.
+    // Readiness comes as an event, which is handled only if the waiting call yields to the event loop.
     setImmediate(() => {
       isReady = true
     })
@@ -124,7 +124,7 @@
   t.true((await submit(client)).isRight())
 })
 
-test('what the leader itself refuses is told at once', async (t) => {
+test('an error from the leader itself is returned at once, without a retry', async (t) => {
   const [leader] = await startMembers(t)
   nameLeader(leader, 1, leader)
   leader.answer = () => Promise.reject(new NettlespurError('unauthorized', 'wrong key'))
@@ -134,5 +134,5 @@
 })
 
 function noop(): void {
-  // Lines are of no interest here.
+  // Log lines are discarded.
 }
--- a/batch/service/test/leaderModel.test.ts
+++ b/batch/service/test/leaderModel.test.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's work against upstreams with faulty links, over many schedules: late orders, lost answers,
- * rows that cannot be read, cuts, crashes with new lives at the same address, changes of the leader. Time is a
+ * Property test of the leader with upstreams behind faulty links, over many schedules: late orders, lost answers,
+ * rows that cannot be read, cuts, crashes with a new process at the same address, and leader changes. Time is a
  * manual clock.
  */
 import type { JobRequest, StepSpec } from '@nettlespur/batch.model'
@@ -11,7 +11,7 @@
 
 const faultPhaseMs = 20_000
 const recoveryMs = 90_000
-/** Ten a second for each upstream: long polls need one in two seconds, and one for each end. */
+/** Ten calls a second for each upstream: long polls need one every two seconds, and one for each run that ends. */
 const maxHoldCalls = (10 * upstreamCount * (faultPhaseMs + recoveryMs)) / 1000
 
 const linkFault = fc.constantFrom<LinkFault>(
@@ -27,7 +27,7 @@
     fault: linkFault,
     calls: fc.integer({ min: 1, max: 6 }),
   }),
-  // Looks in a row of which the leader can read every second row, at whichever upstreams are asked.
+  // In the answers to this many hold calls in a row, to any upstream, the leader can read only every second row.
   fc.record({
     kind: fc.constant('fault' as const),
     fault: fc.constantFrom<LinkFault>('unread-rows', 'hidden-rows'),
@@ -58,7 +58,7 @@
   )
   .map((steps) =>
     steps.map(({ taskCount, accelerators, expectedRunTimeMs, isGang }, at) => ({
-      // A gang has to fit whole into what the upstreams have.
+      // A gang must fit on the upstreams as a whole.
       taskCount: Math.min(taskCount, upstreamCount),
       needs: { cpuMillicores: 100, memoryMiB: 100, accelerators },
       expectedRunTimeMs,
@@ -81,7 +81,7 @@
   linksMs: fc.array(fc.integer({ min: 1, max: 90 }), { minLength: 1, maxLength: 7 }),
 })
 
-test('whatever links, upstreams and leaders do, no task runs twice, too early or after its end, and every job ends', async (t) => {
+test('with any faults of links, upstreams and leaders, no task runs twice, too early or after its end, and every job ends', async (t) => {
   await fc.assert(
     fc.asyncProperty(schedule, async ({ jobs, faults, ...opts }) => {
       const fleet = new FakeFleet(opts)
@@ -104,14 +104,14 @@
       assert.deepEqual(fleet.ledger.violations, [])
       assert.deepEqual([...fleet.state.unsettled.keys()], [])
       assert.deepEqual(listUnfinished(fleet), [])
-      assert.ok(fleet.port.holdCalls < maxHoldCalls, `${fleet.port.holdCalls} looks`)
+      assert.ok(fleet.port.holdCalls < maxHoldCalls, `${fleet.port.holdCalls} hold calls`)
     }),
     { numRuns: 60, includeErrorInReport: true },
   )
   t.pass()
 })
 
-/** Jobs shown as completed of which a task has not been done. */
+/** Tasks that were not done although their job is shown as completed. */
 function listUnfinished({ state, ledger }: FakeFleet): string[] {
   return [...state.jobs.values()]
     .filter(({ status }) => status === 'completed')
--- a/batch/service/test/leaderOutage.test.ts
+++ b/batch/service/test/leaderOutage.test.ts
@@ -1,7 +1,7 @@
 /**
- * What users saw: with two of five members cut off and a third without its disk nobody could lead for six seconds. One
- * entry believed the leader that had stepped down 175 times in that time, on the word of those it had led; each time it
- * asked all members anew, and callers were held to the end of their patience.
+ * Guards against repeated searches while no member leads, such as with two of five members cut off and a third without
+ * its disk. The followers of a leader that has stepped down still name it. An entry that believes them calls it again
+ * and again, asks all members anew after each refusal, and keeps its callers waiting for their whole patience.
  */
 import { createJob } from '@nettlespur/batch.samples'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -9,18 +9,18 @@
 import { startWatchedGroup, type MemberGroup } from '../__utils__/index.js'
 
 const patienceMs = 1000
-/** By then the outage is known to be no election. */
+/** An outage that has lasted this long is longer than an election. */
 const electionsMs = 2000
 const deadlineMs = 3000
 const callEveryMs = 250
 const all = [0, 1, 2, 3, 4]
-/** Lines of one entry about its leader in an outage of 6 s. */
+/** Log lines that one entry may write about its leader in an outage of 6 s. */
 const maxLogLines = 20
-/** Searches of one entry in that time, each of which asks every member once. */
+/** Searches that one entry may run in that time; each asks every member once. */
 const maxSearches = 45
-/** With nobody waiting, the word on which calls are refused is as old as this at most: a pause and a search. */
+/** While no call waits, the search whose result refuses new calls is at most this old: a pause and a search. */
 const maxRefusalAgeMs = 300
-/** A refusal that is known already takes no wait. */
+/** A call that is refused without a new search takes no longer than this. */
 const immediateMs = 50
 
 interface CallResult {
@@ -30,7 +30,7 @@
   readonly retryAfterMs: number
 }
 
-/** The leader says that it leads no more, and the others go on naming it. */
+/** Member 0 no longer claims to lead and refuses calls; the others go on naming it as the leader. */
 function stepDown(group: MemberGroup): void {
   group.member(0).answer = () => Promise.reject(new NettlespurError('not-leader', 'stepped down'))
   group.member(0).view = { ...group.member(0).view, leaderAddress: undefined }
@@ -46,7 +46,7 @@
   return { calledAtMs, tookMs, kind: error?.kind ?? 'done', retryAfterMs: error?.retryAfterMs ?? 0 }
 }
 
-/** Calls come all through an outage and for a second after it. */
+/** Submits jobs at a fixed interval during an outage and for one second after it. */
 async function simulateOutage(t: ExecutionContext, lastsMs: number) {
   const group = await startWatchedGroup(t, all.length)
   const locateCallsBefore = group.member(0).locateCalls
@@ -67,7 +67,7 @@
   return { results, lines, locateCalls }
 }
 
-test('in a long outage an entry searches and writes little, and tells callers at once what it knows', async (t) => {
+test('in a long outage an entry bounds its searches and log lines, and refuses calls at once', async (t) => {
   const lastsMs = 6000
   const { results, lines, locateCalls } = await simulateOutage(t, lastsMs)
   t.true(lines.length <= maxLogLines, `${lines.length} lines`)
@@ -82,7 +82,7 @@
   }
 })
 
-test('callers that are refused in a long outage are told to come back later and later, not all at once', async (t) => {
+test('in a long outage the retry delay given to callers grows, and differs between them', async (t) => {
   const { results } = await simulateOutage(t, 6000)
   const refused = results.filter(({ kind }) => kind === 'not-leader')
   const early = refused.filter(({ calledAtMs }) => calledAtMs < 1000)
@@ -93,13 +93,13 @@
 })
 
 for (const lastsMs of [250, 750]) {
-  test(`no caller notices an outage of ${lastsMs} ms but by its wait`, async (t) => {
+  test(`every call in an outage of ${lastsMs} ms waits for the next leader and succeeds`, async (t) => {
     const { results } = await simulateOutage(t, lastsMs)
     t.deepEqual([...new Set(results.map(({ kind }) => kind))], ['done'])
   })
 }
 
-test('a leader that falls silent is not taken on the word of those that still name it', async (t) => {
+test('a leader that stops answering is not believed again because other members still name it', async (t) => {
   const group = await startWatchedGroup(t, all.length)
   group.link(0).silence()
   group.link(0).isBlackholed = true
@@ -114,7 +114,7 @@
   t.is(group.client.leaderAddress, group.link(1).address)
 })
 
-test('a leader that was killed is not taken on the word of those that still name it', async (t) => {
+test('a leader that was killed is not believed again because other members still name it', async (t) => {
   const group = await startWatchedGroup(t, all.length)
   group.link(0).refuse()
   const calls = [0, 1, 2, 3].map(async (at) => {
--- a/batch/service/test/leaderSearch.test.ts
+++ b/batch/service/test/leaderSearch.test.ts
@@ -1,4 +1,4 @@
-/** When a search for the leader has heard enough. */
+/** When a search for the leader is decided, and which leader it finds. */
 import test from 'ava'
 import { LeaderSearch } from '../src/leaderSearch.js'
 
@@ -16,7 +16,7 @@
   return search.findLeader(() => false)?.address
 }
 
-test('a leader is not taken before a majority of its members has answered', (t) => {
+test('a search is not decided before a majority of the members has answered', (t) => {
   const { search, note } = createSearch()
   note('a', 3, 'a')
   note('b', 3, 'a')
@@ -26,7 +26,7 @@
   t.is(findAddress(search), 'a')
 })
 
-test('a former leader is not taken once any member tells of a later term', (t) => {
+test('a former leader does not decide a search once any member reports a later term', (t) => {
   const { search, note } = createSearch()
   note('a', 3, 'a')
   note('b', 3, 'a')
@@ -38,7 +38,7 @@
   t.is(findAddress(search), 'e')
 })
 
-test('a leader that others name and that says nothing itself decides nothing, yet is the best guess', (t) => {
+test('a leader that has not answered itself does not decide a search, but is found if others name it', (t) => {
   const { search, note } = createSearch()
   for (const member of ['b', 'c', 'd', 'e']) note(member, 3, 'a')
   t.false(search.isDecided)
@@ -46,7 +46,7 @@
   t.is(search.describe(), '4 of 5 members answered, not yet a')
 })
 
-test('a member that knows itself only does not decide for the others that were asked', (t) => {
+test('a member that knows only itself does not decide a search that asks other members too', (t) => {
   const search = new LeaderSearch(['a', 'b'])
   search.note('a', { leaderAddress: 'a', term: 1, memberAddresses: ['a'] })
   t.false(search.isDecided)
@@ -55,21 +55,21 @@
   t.is(findAddress(search), 'b')
 })
 
-test('members named by any answer are known', (t) => {
+test('a search knows the members that any answer names', (t) => {
   const { search, note } = createSearch(['a'])
   t.deepEqual(search.memberAddresses, [])
   note('a', 1)
   t.deepEqual(search.memberAddresses, members)
 })
 
-test('a member that has stepped down is not taken on the word of those that it led', (t) => {
+test('a leader that has stepped down is not found although its followers still name it', (t) => {
   const { search, note } = createSearch()
   for (const member of ['b', 'c', 'd', 'e']) note(member, 3, 'a')
   note('a', 3)
   t.is(findAddress(search), undefined)
 })
 
-test('what was refuted before is believed again only on the own word of the member', (t) => {
+test('a refuted leader is found again only if it names itself', (t) => {
   const { search, note } = createSearch()
   note('b', 3, 'a')
   const isRefuted = (): boolean => true
--- a/batch/service/test/leaderWatch.test.ts
+++ b/batch/service/test/leaderWatch.test.ts
@@ -1,10 +1,7 @@
 /**
- * What users saw: state queries that reached an entry cut off from every member ended without an answer for as
- * long as the cut lasted, while other entries answered. The entry said that it was ready, so the balancer went on
- * sending callers to it; and an entry that had been idle learnt of a silent connection from its first caller.
- *
- * Evidence: on a day with three of eight entries cut off for 6 s, one of them refused 20 queries in a row after
- * 1.0 to 1.3 s each, and was ready all the while.
+ * Guards against an entry that stays ready while it is cut off from every member: the balancer goes on sending
+ * callers to it, and each of their queries is refused although other entries could answer. An idle entry must also
+ * detect a silent connection by itself, and not at the cost of its first caller.
  */
 import test from 'ava'
 import { startWatchedGroup, type MemberGroup } from '../__utils__/index.js'
@@ -20,7 +17,7 @@
   }
 }
 
-test('an idle process learns that its connections went silent before anyone calls', async (t) => {
+test('an idle process detects silent connections before the first call', async (t) => {
   const group = await startWatchedGroup(t)
   for (const at of [0, 1, 2]) group.link(at).silence()
   await group.settle(group.clock.sleep(3000))
@@ -29,7 +26,7 @@
   t.is(tookMs, 0)
 })
 
-test('an idle process learns of another leader before anyone calls', async (t) => {
+test('an idle process finds a new leader before the first call', async (t) => {
   const group = await startWatchedGroup(t)
   cutOff(group, [0])
   group.nameLeader(1, 2, [1, 2])
@@ -37,7 +34,7 @@
   t.is(group.client.leaderAddress, group.link(1).address)
 })
 
-test('a process that no member answers says so within 4 s, and is back once one does', async (t) => {
+test('a process that no member answers reports this within 4 s, and recovers once a member answers', async (t) => {
   const group = await startWatchedGroup(t)
   cutOff(group, [0, 1, 2])
   await group.settle(group.clock.sleep(4000))
@@ -49,7 +46,7 @@
   t.true(group.client.reachesMembers)
 })
 
-test('a member that knows no leader is an answer: an election is no isolation', async (t) => {
+test('members that answer but know no leader count as reachable, as in an election', async (t) => {
   const group = await startWatchedGroup(t)
   cutOff(group, [0])
   for (const at of [1, 2]) group.member(at).view = { term: 2, memberAddresses: [] }
--- a/batch/service/test/orphanedMember.test.ts
+++ b/batch/service/test/orphanedMember.test.ts
@@ -1,8 +1,8 @@
 /**
- * A new member that only a leader of old had added. The model of a calm group showed it on seed 50035: the leader,
- * cut off from the majority, added the newcomer and sent it that entry; the next leader overwrote it and knows of no
- * newcomer. That one found itself in its own log, so that it did not ask to be added again: it stood outside for
- * good, named the leader of old to whoever asked, and the group went on with one member too few.
+ * Guards against a new member that stays out of the group because only a former leader has added it. A leader that is
+ * cut off from the majority adds the newcomer and sends it that entry; the next leader overwrites the entry and does
+ * not know the newcomer. If the newcomer takes its own log for proof that it is a member, it never asks to be added
+ * again: it goes on naming the former leader, and the group is one member short.
  */
 import test from 'ava'
 import { checkRecovery, ControlGroup, simulateGroup } from '../__utils__/group/index.js'
@@ -31,7 +31,7 @@
   t.true(members.some(({ memberId }) => memberId === newcomer?.member.memberId))
 })
 
-test('the schedules that left a newcomer outside are survived', async (t) => {
+test('a group recovers from fault schedules that can leave a newcomer out', async (t) => {
   for (const seed of [50035, 40127]) {
     const { group } = await simulateGroup(seed)
     t.deepEqual(group.violations, [], `seed ${seed}\n${group.describe()}`)
--- a/batch/service/test/refusedStarts.test.ts
+++ b/batch/service/test/refusedStarts.test.ts
@@ -1,11 +1,11 @@
-/** Starts that upstreams refuse: how often they are given again. */
+/** How often starts that upstreams refuse are retried. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { startFleet, upstreamCount } from '../__utils__/index.js'
 
 const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 4 }
 
-test('an upstream whose room has shrunk unannounced is not asked again for what it refuses before it announces itself', async (t) => {
+test('an upstream that refuses a start for lack of capacity is not asked again before its next announcement', async (t) => {
   const fleet = await startFleet()
   for (let at = 0; at < upstreamCount; at++) {
     fleet.resize(at, 3)
@@ -16,7 +16,7 @@
   t.is(fleet.port.startCalls, upstreamCount)
 })
 
-test('a task that upstreams refuse for what it is starts ever more rarely, and at last', async (t) => {
+test('a task that upstreams refuse as invalid is retried ever more rarely, and completes once they accept it', async (t) => {
   const fleet = await startFleet()
   fleet.inject({ kind: 'fault', fault: 'invalid-starts', calls: 10_000 })
   fleet.submit(createJob('j', { needs }), 1)
--- a/batch/service/test/shrinkingRoom.test.ts
+++ b/batch/service/test/shrinkingRoom.test.ts
@@ -1,4 +1,4 @@
-/** Upstreams whose room shrinks and grows while they run, and that start whatever they are told to. */
+/** Upstreams whose capacity shrinks and grows while they run, and that start tasks without checking that they fit. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import fc from 'fast-check'
@@ -7,7 +7,7 @@
 
 const links = { clockRate: 1, lateMs: 1000, failures: [], linksMs: [1, 2, 3] }
 const settledMs = 2000
-/** Over it a room that shrank counts. */
+/** This long after a capacity shrank, starts beyond it count as violations. */
 const graceMs = 4500
 
 function startFleet(): FakeFleet {
@@ -21,7 +21,7 @@
   return createJob(jobId, { taskCount, needs, expectedRunTimeMs: 20_000 })
 }
 
-test('an announcement from before its room shrank gives a new leader no room that is gone', async (t) => {
+test('a late announcement does not give a new leader the capacity that an upstream had before it shrank', async (t) => {
   const fleet = startFleet()
   await fleet.clock.advance(settledMs)
   const upstreamId = fleet.upstreamIdOf(0)
@@ -38,7 +38,7 @@
   t.is(fleet.state.upstreams.get(upstreamId)?.description.capacity.accelerators, 2)
 })
 
-test('room that has shrunk takes no more than it has, and takes more again once it has grown', async (t) => {
+test('an upstream gets no more work than its shrunk capacity holds, and more once its capacity has grown again', async (t) => {
   const fleet = startFleet()
   await fleet.clock.advance(settledMs)
   for (let at = 0; at < upstreamCount; at++) fleet.resize(at, 2)
@@ -76,7 +76,7 @@
   crashing: fc.boolean(),
 })
 
-test('whatever shrinks and grows, under whichever leaders, no start brings an upstream over its capacity', async (t) => {
+test('with any capacity and leader changes, no start brings an upstream over its capacity', async (t) => {
   await fc.assert(
     fc.asyncProperty(schedule, async ({ jobs, sizes, electionsAtMs, crashing }) => {
       const fleet = new FakeFleet({
--- a/batch/service/test/slowMembers.test.ts
+++ b/batch/service/test/slowMembers.test.ts
@@ -1,7 +1,8 @@
 /**
- * Members that answer after 350 ms each, as over a squeezed link or from slow processors: later than a search
- * waits for them, and well within the 700 ms of a call and the 1,000 ms of a caller. Calls have to be answered
- * still, and callers must not be sent elsewhere: all processes see the same, and would be taken out together.
+ * Members that all answer after 350 ms, as over a congested link or on slow processors: later than a search waits for
+ * them, but within the 700 ms of a call and the 1,000 ms of a caller. Calls must still be answered, and the process
+ * must not report that it reaches no member: all processes see the same delay, and the balancer would take out all of
+ * them.
  */
 import test, { type ExecutionContext } from 'ava'
 import { startWatchedGroup, type MemberGroup } from '../__utils__/index.js'
@@ -14,14 +15,14 @@
   return group
 }
 
-test('a process whose members all answer late does not say that it reaches none', async (t) => {
+test('a process whose members all answer late does not report them as unreachable', async (t) => {
   const group = await startSlowGroup(t)
   await group.settle(group.clock.sleep(10_000))
   t.deepEqual(group.recorder.named('members.unreachable'), [])
   t.true(group.client.reachesMembers)
 })
 
-test('a read is answered whenever it comes while all members answer late', async (t) => {
+test('every read is answered while all members answer late', async (t) => {
   const group = await startSlowGroup(t)
   const outcomes: unknown[] = []
   for (let at = 0; at < 10; at++) {
--- a/batch/service/test/stateQueries.test.ts
+++ b/batch/service/test/stateQueries.test.ts
@@ -1,22 +1,21 @@
 /**
- * What users saw: at the end of a day one accepted job's state could not be had in time, though a leader was
- * there and answered others. Entries are idle for seconds before jobs are asked for, so they ask over
- * connections that may have gone silent unnoticed, by what they believed of the leader then.
+ * Guards against state queries that fail although a leader is there and answers others. Entries are often idle for
+ * seconds before a query, so they send it to the leader that they knew then, over a connection that may have gone
+ * silent unnoticed.
  *
- * Order of events: a query is sent on a silent connection; nothing comes for 700 ms; the leader is searched
- * for, for up to 300 ms, over connections just as silent; the patience of 1,000 ms is over, and the caller,
- * who gave 3,000 ms, is told 504.
- *
- * Cause: a read in doubt ended the call like a change in doubt, although a read can be asked again.
+ * How a query fails: it is sent on a silent connection and not answered for 700 ms; a search for the leader takes up
+ * to 300 ms more over connections that are just as silent; then the patience of 1,000 ms is over, and a caller that
+ * allows 3,000 ms gets a 504. A read without an answer must therefore not end its call as a change does, since it can
+ * be retried.
  */
 import { createJob } from '@nettlespur/batch.samples'
 import { NettlespurError } from '@nettlespur/core.errors'
 import test, { type ExecutionContext } from 'ava'
 import { MemberGroup } from '../__utils__/index.js'
 
-/** As the platform's processes have them. */
+/** The timings of the platform's processes. */
 const timings = { callTimeoutMs: 700, patienceMs: 1000 }
-/** What callers give a query. */
+/** The deadline that callers set for a query. */
 const deadlineMs = 3000
 
 async function startGroup(t: ExecutionContext): Promise<MemberGroup> {
@@ -41,7 +40,7 @@
   t.true(tookMs < deadlineMs, `${tookMs} ms`)
 })
 
-test('a query is answered although its connection carries only answers to earlier ones', async (t) => {
+test('a query is answered although its connection carries only answers to earlier queries', async (t) => {
   const group = await startGroup(t)
   let release: () => void = () => undefined
   group.member(0).answerState = () =>
@@ -63,7 +62,7 @@
   t.true(tookMs < deadlineMs, `${tookMs} ms`)
 })
 
-test('a query is answered by a leader that takes longer to confirm it than a call may take', async (t) => {
+test('a query is answered although the leader takes longer to confirm it than the timeout of a call', async (t) => {
   const group = await startGroup(t)
   group.member(0).answerState = async () => {
     await group.clock.sleep(timings.callTimeoutMs + 100)
@@ -84,7 +83,7 @@
   t.true(tookMs < 400, `${tookMs} ms`)
 })
 
-test('of a burst on a silent connection every query is answered', async (t) => {
+test('every query of a burst on a silent connection is answered', async (t) => {
   const group = await startGroup(t)
   group.link(0).silence()
   const burst = Promise.all(Array.from({ length: 150 }, (_, at) => ask(group, `job-${at}`)))
@@ -106,7 +105,7 @@
   t.true(tookMs < deadlineMs, `${tookMs} ms`)
 })
 
-test('where no member leads a query is told so after the usual patience, with when to come back', async (t) => {
+test('a query fails after the usual patience if no member leads, with a delay after which to retry', async (t) => {
   const group = await startGroup(t)
   group.member(0).answerState = () => Promise.reject(new NettlespurError('not-leader', 'no more'))
   for (const at of [0, 1, 2]) group.member(at).view = { term: 2, memberAddresses: [] }
@@ -115,7 +114,7 @@
   t.true(tookMs >= timings.patienceMs && tookMs < timings.patienceMs + 200, `${tookMs} ms`)
 })
 
-test('an entry that reaches no member tells so after the usual patience, with when to come back', async (t) => {
+test('a query fails after the usual patience if no member answers, with a delay after which to retry', async (t) => {
   const group = await startGroup(t)
   for (const at of [0, 1, 2]) {
     group.link(at).silence()
@@ -126,7 +125,7 @@
   t.true(tookMs < timings.patienceMs + 500, `${tookMs} ms`)
 })
 
-test('a leader too slow for the caller is asked at most four times, and the caller keeps time for another entry', async (t) => {
+test('a leader too slow for the caller is asked at most four times, and the call ends in time to try another entry', async (t) => {
   const group = await startGroup(t)
   group.member(0).answerState = async () => {
     await group.clock.sleep(10 * deadlineMs)
@@ -138,7 +137,7 @@
   t.true(group.member(0).asked.filter((jobId) => jobId === 'a').length <= 4)
 })
 
-test('a query whose caller has left is not asked again', async (t) => {
+test('a query whose caller has left is not retried', async (t) => {
   const group = await startGroup(t)
   const gone = new AbortController()
   group.member(0).answerState = () => {
@@ -151,7 +150,7 @@
   t.is(group.member(0).asked.filter((jobId) => jobId === 'a').length, 1)
 })
 
-test('what the leader says of a job is told at once', async (t) => {
+test('an error of the leader about the job is returned at once', async (t) => {
   const group = await startGroup(t)
   group.member(0).answerState = () => Promise.reject(new NettlespurError('unknown-job', 'none'))
   const { outcome, tookMs } = await group.settle(ask(group, 'a'))
@@ -159,7 +158,7 @@
   t.is(tookMs, 0)
 })
 
-test('a submission on a silent connection is not under way twice, and ends in doubt', async (t) => {
+test('a submission on a silent connection is not sent twice, and its outcome is unknown', async (t) => {
   const group = await startGroup(t)
   for (const at of [0, 1, 2]) {
     group.link(at).silence()
