--- a/batch/service/__utils__/group/memberLinks.ts
+++ b/batch/service/__utils__/group/memberLinks.ts
@@ -9,7 +9,7 @@
 /** TCP sends a lost packet again after some hundred milliseconds. */
 const retransmitMs = { shortest: 200, longest: 700 }
 /** The share of the messages on a cut link that are delivered once it has healed; the others are lost. */
-const heldShare = 0.5
+const deliveredAfterCutShare = 0.5
 
 /** One process of a member, from its start to its end. */
 export interface MemberProcess {
@@ -102,7 +102,7 @@
   }
 
   async #waitForLink(): Promise<void> {
-    const isHeld = this.#random() < heldShare
+    const isHeld = this.#random() < deliveredAfterCutShare
     await new Promise<void>((resolve) => {
       if (isHeld) this.#heldMessages.push(resolve)
     })
--- a/batch/service/__utils__/recorder.ts
+++ b/batch/service/__utils__/recorder.ts
@@ -6,7 +6,7 @@
   readonly logger: Logger
   readonly metrics: MetricsRegistry
   /** The lines logged so far with this event. */
-  readonly named: (event: string) => LogEvent[]
+  readonly findEvents: (event: string) => LogEvent[]
 }
 
 export function createRecorder(): Recorder {
@@ -15,6 +15,7 @@
     events.push(event)
   }
   const logger = { debug: () => undefined, info: keep, warn: keep, error: keep }
-  const named = (event: string): LogEvent[] => events.filter((logged) => logged.event === event)
-  return { logger, metrics: new MetricsRegistry(), named }
+  const findEvents = (event: string): LogEvent[] =>
+    events.filter((logged) => logged.event === event)
+  return { logger, metrics: new MetricsRegistry(), findEvents }
 }
--- a/batch/service/test/callLog.test.ts
+++ b/batch/service/test/callLog.test.ts
@@ -36,24 +36,24 @@
 }
 
 test('reads that are answered in time share one summary line a second', async (t) => {
-  const { clock, note, named } = createFixture()
+  const { clock, note, findEvents } = createFixture()
   await note('a', 'read')
   await note('b', 'read', { tookMs: 40 })
-  t.deepEqual(named('calls.answered'), [])
+  t.deepEqual(findEvents('calls.answered'), [])
   await clock.advance(1000)
-  t.deepEqual(named('call.answered'), [])
-  t.like(named('calls.answered'), [
+  t.deepEqual(findEvents('call.answered'), [])
+  t.like(findEvents('calls.answered'), [
     { call: 'call-read', calls: 2, meanMs: 30, maxMs: 40, searched: 0, slow: 0 },
   ])
-  t.deepEqual(named('calls.answered')[0]?.subjects, ['a', 'b'])
+  t.deepEqual(findEvents('calls.answered')[0]?.subjects, ['a', 'b'])
   await clock.advance(5000)
-  t.is(named('calls.answered').length, 1)
+  t.is(findEvents('calls.answered').length, 1)
 })
 
 test('the line of a slow read shows its attempts, how long its leader was known and the deadline of its caller', async (t) => {
-  const { note, named } = createFixture()
+  const { note, findEvents } = createFixture()
   await note('a', 'read', { tookMs: 720, wait: { deadlineMs: 3000 } })
-  t.like(named('call.answered')[0], {
+  t.like(findEvents('call.answered')[0], {
     call: 'call-read',
     subject: 'a',
     outcome: 'done',
@@ -66,51 +66,51 @@
     searchMs: 0,
     attempts: 1,
   })
-  t.deepEqual(named('call.answered')[0]?.attemptEnds, [`done@${leader}+720ms`])
+  t.deepEqual(findEvents('call.answered')[0]?.attemptEnds, [`done@${leader}+720ms`])
 })
 
 test('a read whose caller left before the answer has its own line, however fast it was', async (t) => {
-  const { note, named, metrics } = createFixture()
+  const { note, findEvents, metrics } = createFixture()
   await note('a', 'read', { wait: { gone: AbortSignal.abort() } })
-  t.like(named('call.answered'), [{ subject: 'a', outcome: 'done', callerIsGone: true }])
+  t.like(findEvents('call.answered'), [{ subject: 'a', outcome: 'done', callerIsGone: true }])
   t.is(metrics.counterValue('calls_call_read_caller_gone_total'), 1)
 })
 
 test('each failed call and each change has its own line, and a repeated call that succeeds has none', async (t) => {
-  const { clock, note, named } = createFixture()
+  const { clock, note, findEvents } = createFixture()
   const error = new NettlespurError('outcome-unknown', 'silent')
   await note('a', 'read', { error })
   await note('b', 'change')
   await note('c', 'repeated')
   await note('d', 'repeated', { error })
   await clock.advance(1000)
-  const lines = named('call.answered').map(({ subject, outcome }) => [subject, outcome])
+  const lines = findEvents('call.answered').map(({ subject, outcome }) => [subject, outcome])
   t.deepEqual(lines, [
     ['a', 'outcome-unknown'],
     ['b', 'done'],
     ['d', 'outcome-unknown'],
   ])
-  t.deepEqual(named('calls.answered'), [])
+  t.deepEqual(findEvents('calls.answered'), [])
 })
 
 test('a burst of slow reads leaves a bounded number of lines, and the summary counts the rest', async (t) => {
-  const { clock, log, named } = createFixture()
+  const { clock, log, findEvents } = createFixture()
   const traces = Array.from({ length: 200 }, () => new CallTrace(clock, {}))
   await clock.advance(500)
   for (const [at, trace] of traces.entries()) {
     log.note(createOperation(`job-${at}`, 'read'), trace, leader)
   }
   await clock.advance(1000)
-  t.is(named('call.answered').length, 20)
-  t.like(named('calls.answered'), [{ calls: 180, slow: 180, unnamed: 30 }])
-  t.is((named('calls.answered')[0]?.subjects as string[]).length, 150)
+  t.is(findEvents('call.answered').length, 20)
+  t.like(findEvents('calls.answered'), [{ calls: 180, slow: 180, unnamed: 30 }])
+  t.is((findEvents('calls.answered')[0]?.subjects as string[]).length, 150)
 })
 
 test('closing the log writes the pending summary', async (t) => {
-  const { log, note, named } = createFixture()
+  const { log, note, findEvents } = createFixture()
   await note('a', 'read')
   log.close()
-  t.like(named('calls.answered'), [{ calls: 1 }])
+  t.like(findEvents('calls.answered'), [{ calls: 1 }])
 })
 
 test('a search for the leader is counted, and its duration recorded', async (t) => {
--- a/batch/service/test/leaderOutage.test.ts
+++ b/batch/service/test/leaderOutage.test.ts
@@ -62,8 +62,8 @@
     await group.settle(group.clock.sleep(callEveryMs))
   }
   const { outcome: results } = await group.settle(Promise.all(calls))
-  const { named } = group.recorder
-  const lines = ['leader.lost', 'leader.missing', 'leader.believed'].flatMap(named)
+  const { findEvents } = group.recorder
+  const lines = ['leader.lost', 'leader.missing', 'leader.believed'].flatMap(findEvents)
   return { results, lines, locateCalls }
 }
 
@@ -122,7 +122,7 @@
     return submit(group, at)
   })
   await group.settle(group.clock.sleep(700))
-  const lost = group.recorder.named('leader.lost').length
+  const lost = group.recorder.findEvents('leader.lost').length
   t.true(lost <= 2, `${lost} times`)
   group.nameLeader(1, 2, [1, 2, 3, 4])
   const { outcome: results } = await group.settle(Promise.all(calls))
--- a/batch/service/test/leaderWatch.test.ts
+++ b/batch/service/test/leaderWatch.test.ts
@@ -39,7 +39,7 @@
   cutOff(group, [0, 1, 2])
   await group.settle(group.clock.sleep(4000))
   t.false(group.client.reachesMembers)
-  t.is(group.recorder.named('members.unreachable').length, 1)
+  t.is(group.recorder.findEvents('members.unreachable').length, 1)
   group.link(2).isBlackholed = false
   group.link(2).silence()
   await group.settle(group.clock.sleep(3000))
--- a/batch/service/test/slowMembers.test.ts
+++ b/batch/service/test/slowMembers.test.ts
@@ -18,7 +18,7 @@
 test('a process whose members all answer late does not report them as unreachable', async (t) => {
   const group = await startSlowGroup(t)
   await group.settle(group.clock.sleep(10_000))
-  t.deepEqual(group.recorder.named('members.unreachable'), [])
+  t.deepEqual(group.recorder.findEvents('members.unreachable'), [])
   t.true(group.client.reachesMembers)
 })
 
