--- a/batch/service/__utils__/faultyPort.ts
+++ b/batch/service/__utils__/faultyPort.ts
@@ -29,7 +29,7 @@
   | 'hidden-rows'
   | 'invalid-starts'
 
-/** Counted over all upstreams. While rows are unread, each upstream gets about ten hold calls a second. */
+/** Hidden rows change after this many hold calls to all upstreams; each gets about ten a second while rows are unread. */
 const holdsPerHiddenPhase = 150
 
 export interface FaultyPortOptions {
--- a/batch/service/__utils__/group/groupFaults.ts
+++ b/batch/service/__utils__/group/groupFaults.ts
@@ -1,4 +1,4 @@
-/** Injects faults into a control group, with targets and durations from its random numbers; faults may overlap. */
+/** Injects faults that may overlap into a control group. Targets and durations come from the group's random numbers. */
 import type { ControlGroup } from './controlGroup.js'
 import type { GroupMember } from './groupMember.js'
 
@@ -18,7 +18,7 @@
   'deafen',
   // One direction of one link is cut.
   'cut-way',
-  // The group is partitioned at random.
+  // The group is split at random into two sides that cannot reach each other.
   'halves',
   'lossy',
   'slow-disk',
--- a/batch/service/__utils__/group/memberFiles.ts
+++ b/batch/service/__utils__/group/memberFiles.ts
@@ -24,7 +24,7 @@
     this.#hasEnded = true
   }
 
-  /** For calls that a full disk does not refuse: reads, and also renames, removals and truncations. */
+  /** For calls that a full disk does not refuse: reads, and also new folders, renames, removals and truncations. */
   async read<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
     await this.#opts.disk.waitWhileStalled()
     return this.#finish(run)
