--- a/batch/service/__utils__/faultyPort.ts
+++ b/batch/service/__utils__/faultyPort.ts
@@ -1,4 +1,4 @@
-/** Orders to fake upstreams over links that lose answers, hold orders back, refuse and fall silent. */
+/** Sends orders to fake upstreams over links that lose answers, delay orders, refuse connections or go silent. */
 import {
   UpstreamPort,
   type HoldAnswer,
@@ -14,9 +14,10 @@
 import type { FakeUpstream } from '@nettlespur/batch.fakes'
 
 /**
- * What the link does with one call. `late`: it is carried out seconds later, and nothing is answered. `unread-rows` and
- * `hidden-rows`: every second row of a look cannot be read, and is left out of its lists. `invalid-starts`: a start is
- * refused as one that cannot be understood.
+ * What the link does with one call. `answer-lost`: the call is carried out, and its answer is lost. `late`: the call
+ * is carried out with a delay, and not answered. `refused`: the call fails as unreachable. `silent`: the call is
+ * neither carried out nor answered. `unread-rows` and `hidden-rows`: every second row in the answer to a hold cannot
+ * be read and is left out. `invalid-starts`: a start is refused as invalid.
  */
 export type LinkFault =
   | 'none'
@@ -28,25 +29,25 @@
   | 'hidden-rows'
   | 'invalid-starts'
 
-/** Over all upstreams; each is asked about ten times a second while rows are unread. */
-const hiddenLooks = 150
+/** Hidden rows change after this many hold calls to all upstreams; each gets about ten a second while rows are unread. */
+const holdsPerHiddenPhase = 150
 
 export interface FaultyPortOptions {
   clock: Clock
-  /** By address: the life that answers there now. */
+  /** The upstream that answers at an address now. */
   findUpstream: (address: string) => FakeUpstream | undefined
   nextFault: (address: string) => LinkFault
-  /** One way; calls on different connections overtake each other. */
-  nextLinkMs: () => number
-  /** How much later a late order is carried out. */
-  nextDelayMs: () => number
+  /** The delay of the next message in its direction. Calls overtake each other, as on different connections. */
+  nextLinkDelayMs: () => number
+  /** The delay after which a late order is carried out. */
+  nextLatenessMs: () => number
 }
 
 export class FaultyPort extends UpstreamPort {
-  /** Looks so far: an upstream at rest is not to be asked all the time. */
-  looks = 0
-  /** Starts so far, refused ones included. */
-  starts = 0
+  /** Hold calls so far. Tests bound them, as an idle upstream must not be polled all the time. */
+  holdCalls = 0
+  /** Start calls so far, including refused ones. */
+  startCalls = 0
   readonly #opts: FaultyPortOptions
 
   constructor(opts: FaultyPortOptions) {
@@ -55,7 +56,7 @@
   }
 
   override start(to: UpstreamTarget, order: StartOrder, timeoutMs: number): Promise<StartAnswer> {
-    this.starts += 1
+    this.startCalls += 1
     return this.#call(to, timeoutMs, (upstream, fault) => {
       const { clockMs } = upstream
       if (fault === 'invalid-starts') {
@@ -70,12 +71,13 @@
   }
 
   override hold(to: UpstreamTarget, order: HoldOrder, timeoutMs: number): Promise<HoldAnswer> {
-    this.looks += 1
-    const turn = this.looks
+    this.holdCalls += 1
+    const callNumber = this.holdCalls
     return this.#call(to, timeoutMs, async (upstream, fault) => {
       const answer = await upstream.hold(order)
-      if (fault === 'unread-rows') return leaveOutRows(answer, turn)
-      if (fault === 'hidden-rows') return leaveOutRows(answer, Math.floor(turn / hiddenLooks))
+      if (fault === 'unread-rows') return leaveOutRows(answer, callNumber)
+      if (fault === 'hidden-rows')
+        return leaveOutRows(answer, Math.floor(callNumber / holdsPerHiddenPhase))
       return answer
     })
   }
@@ -85,9 +87,9 @@
     timeoutMs: number,
     run: (upstream: FakeUpstream, fault: LinkFault) => Promise<T>,
   ): Promise<T | { type: 'gone'; clockMs: undefined }> {
-    const { clock, findUpstream, nextFault, nextLinkMs, nextDelayMs } = this.#opts
+    const { clock, findUpstream, nextFault, nextLinkDelayMs, nextLatenessMs } = this.#opts
     const fault = nextFault(address)
-    await clock.sleep(nextLinkMs())
+    await clock.sleep(nextLinkDelayMs())
     if (fault === 'refused') throw new NettlespurError('unreachable', 'refused')
     const carryOut = async (): Promise<T | { type: 'gone'; clockMs: undefined }> => {
       const upstream = findUpstream(address)
@@ -97,12 +99,12 @@
     }
     if (['none', 'unread-rows', 'hidden-rows', 'invalid-starts'].includes(fault)) {
       const answer = await carryOut()
-      await clock.sleep(nextLinkMs())
+      await clock.sleep(nextLinkDelayMs())
       return answer
     }
     if (fault === 'answer-lost') await carryOut()
     if (fault === 'late') {
-      clock.setTimer(nextDelayMs(), () => {
+      clock.setTimer(nextLatenessMs(), () => {
         carryOut().catch(() => undefined)
       })
     }
@@ -112,12 +114,12 @@
 }
 
 /**
- * Which rows are left changes with the turn: each time, so that a run is now listed and now not, or slowly, so that it
- * is hidden for seconds.
+ * Leaves out every second row: the even or the odd ones, as `phase` is. A phase that changes with each answer lists a
+ * run in every second answer; one that changes slowly hides a run for seconds.
  */
-function leaveOutRows(answer: HoldAnswer, turn: number): HoldAnswer {
+function leaveOutRows(answer: HoldAnswer, phase: number): HoldAnswer {
   if (answer.type !== 'held') return answer
-  const isRead = (_: unknown, at: number): boolean => (at + turn) % 2 === 0
+  const isRead = (_: unknown, at: number): boolean => (at + phase) % 2 === 0
   const running = answer.running.filter(isRead)
   const finished = answer.finished.filter(isRead)
   const listed = answer.running.length + answer.finished.length
--- a/batch/service/__utils__/group/diskState.ts
+++ b/batch/service/__utils__/group/diskState.ts
@@ -1,7 +1,7 @@
-/** How one disk is at present, whatever process uses it. */
+/** The simulated faults of one disk, which outlast the processes that use it. */
 import type { ManualClock } from '@nettlespur/core.clock'
 
-/** A sync of the smaller deployments takes 4 to 6 ms. */
+/** A sync takes 4 to 6 ms in the smaller deployments. */
 const syncMs = { shortest: 3, longest: 7 }
 const slowFactor = 40
 
@@ -11,7 +11,7 @@
   isFull = false
   readonly #clock: ManualClock
   readonly #random: () => number
-  #stalled: (() => void)[] | undefined
+  #stalledCalls: (() => void)[] | undefined
 
   constructor(clock: ManualClock, random: () => number) {
     this.#clock = clock
@@ -19,33 +19,33 @@
   }
 
   get isStalled(): boolean {
-    return this.#stalled !== undefined
+    return this.#stalledCalls !== undefined
   }
 
   stall(): void {
-    this.#stalled ??= []
+    this.#stalledCalls ??= []
   }
 
   heal(): void {
     this.isSlow = false
     this.isFull = false
-    const stalled = this.#stalled ?? []
-    this.#stalled = undefined
-    for (const goOn of stalled) goOn()
+    const stalled = this.#stalledCalls ?? []
+    this.#stalledCalls = undefined
+    for (const resume of stalled) resume()
   }
 
-  /** The time a sync takes, and for how long the disk hangs. */
+  /** Resolves after the time that a sync takes, and not while the disk is stalled. */
   async sync(): Promise<void> {
     const { shortest, longest } = syncMs
     const tookMs = shortest + this.#random() * (longest - shortest)
     await this.#clock.sleep(tookMs * (this.isSlow ? slowFactor : 1))
-    await this.pass()
+    await this.waitWhileStalled()
   }
 
-  /** For how long the disk hangs. */
-  async pass(): Promise<void> {
-    while (this.#stalled !== undefined) {
-      const waiting = this.#stalled
+  /** Resolves at once, or when the disk is no longer stalled. */
+  async waitWhileStalled(): Promise<void> {
+    while (this.#stalledCalls !== undefined) {
+      const waiting = this.#stalledCalls
       await new Promise<void>((resolve) => {
         waiting.push(resolve)
       })
--- a/batch/service/__utils__/group/groupMember.ts
+++ b/batch/service/__utils__/group/groupMember.ts
@@ -1,4 +1,4 @@
-/** One machine of a group: its disk, and the lives of the process on it. */
+/** One machine of a control group: its disk, and the processes that run on it one after the other. */
 import type { Member } from '@nettlespur/consensus.raft'
 import type { ManualClock } from '@nettlespur/core.clock'
 import { unwrap } from '@nettlespur/core.errors'
@@ -10,16 +10,16 @@
 import { DiskState } from './diskState.js'
 import { MemberClock } from './memberClock.js'
 import { MemberFiles } from './memberFiles.js'
-import type { MemberLife, MemberLinks } from './memberLinks.js'
+import type { MemberProcess, MemberLinks } from './memberLinks.js'
 import { MemberTransport } from './memberTransport.js'
-import { SilentPort } from './silentPort.js'
+import { UnreachablePort } from './unreachablePort.js'
 
-/** As the platform does with a process that has ended by itself. */
+/** The platform restarts a process that has ended by itself after this time. */
 const restartMs = 300
-/** How often an instance that is no member asks to be added. */
-const askEveryMs = 300
+/** How often an instance that is not a member asks to be added. */
+const joinEveryMs = 300
 
-/** So small that snapshots are taken and installed all the time. */
+/** So small that snapshots are taken and installed often. */
 const limits = { snapshotEveryEntries: 40, keepEntries: 10, snapshotChunkBytes: 4096 }
 
 export interface GroupMemberOptions {
@@ -30,11 +30,11 @@
   links: MemberLinks
   logger: Logger
   timings: BatchTimings
-  /** Where to ask for being added. */
+  /** The member to ask for being added. */
   findLeaderId: () => string | undefined
 }
 
-interface Life extends MemberLife {
+interface StartedProcess extends MemberProcess {
   node: BatchNode | undefined
   readonly files: MemberFiles
   /** Resolves when the process is killed. */
@@ -44,12 +44,12 @@
 
 export class GroupMember {
   readonly disk: DiskState
-  /** It never comes back. */
+  /** True once the machine has been replaced: it never starts again. */
   isRemoved = false
   readonly #opts: GroupMemberOptions
   #founders: readonly Member[]
   #files = new MemoryFileSystem()
-  #life: Life | undefined
+  #process: StartedProcess | undefined
 
   constructor(opts: GroupMemberOptions) {
     this.#opts = opts
@@ -62,55 +62,63 @@
   }
 
   get isUp(): boolean {
-    return this.#life !== undefined
+    return this.#process !== undefined
   }
 
   get isPaused(): boolean {
-    return this.#life?.clock.isPaused === true
+    return this.#process?.clock.isPaused === true
   }
 
-  /** Undefined while the process is down or about to start. */
+  /** Undefined while the process is down or starting. */
   get node(): BatchNode | undefined {
-    return this.#life?.node
+    return this.#process?.node
   }
 
-  get life(): MemberLife | undefined {
-    return this.#life
+  get process(): MemberProcess | undefined {
+    return this.#process
   }
 
   start(): void {
-    if (this.#life !== undefined || this.isRemoved) return
-    const { member, clock: world, links, logger } = this.#opts
-    const clock = new MemberClock(world)
+    if (this.#process !== undefined || this.isRemoved) return
+    const { member, clock: groupClock, links, logger } = this.#opts
+    const clock = new MemberClock(groupClock)
     const files = new MemberFiles({ files: this.#files, disk: this.disk, clock })
     const { promise: ending, resolve: end } = createPromise()
     const { memberId } = member
-    const life: Life = { memberId, clock, files, node: undefined, hasEnded: false, ending, end }
-    this.#life = life
-    links.lives.set(member.memberId, life)
-    this.#open(life).catch((thrown: unknown) => {
-      if (life.hasEnded) return
+    const started: StartedProcess = {
+      memberId,
+      clock,
+      files,
+      node: undefined,
+      hasEnded: false,
+      ending,
+      end,
+    }
+    this.#process = started
+    links.processes.set(member.memberId, started)
+    this.#open(started).catch((thrown: unknown) => {
+      if (started.hasEnded) return
       logger.error({ event: 'process.ended', reason: String(thrown) })
       this.kill()
-      world.setTimer(restartMs, () => {
+      groupClock.setTimer(restartMs, () => {
         this.start()
       })
     })
   }
 
   kill(): void {
-    const life = this.#life
-    if (life === undefined) return
-    life.hasEnded = true
-    life.files.end()
-    life.end()
-    life.clock.pause('freeze')
-    this.#life = undefined
-    this.#opts.links.lives.delete(life.memberId)
+    const current = this.#process
+    if (current === undefined) return
+    current.hasEnded = true
+    current.files.end()
+    current.end()
+    current.clock.pause('freeze')
+    this.#process = undefined
+    this.#opts.links.processes.delete(current.memberId)
     this.#files = this.#files.kill()
   }
 
-  /** What was not synced is lost, in part or torn. */
+  /** Kills the process; unsynced data is lost, kept in part or torn. */
   losePower(): void {
     this.kill()
     const loss = lossKinds[Math.floor(this.#opts.random() * lossKinds.length)] ?? 'lost'
@@ -123,25 +131,25 @@
     this.#founders = []
   }
 
-  /** Hands the leadership over first. Resolves once the process has ended, however it did. */
+  /** Transfers leadership and stops the process. Resolves once it has ended, also if it was killed meanwhile. */
   async stop(): Promise<void> {
-    const life = this.#life
-    if (life === undefined) return
-    await Promise.race([life.ending, this.#stopNode(life)])
-    if (this.#life === life) this.kill()
+    const current = this.#process
+    if (current === undefined) return
+    await Promise.race([current.ending, this.#stopNode(current)])
+    if (this.#process === current) this.kill()
   }
 
   pause(kind: 'freeze' | 'suspend'): void {
-    this.#life?.clock.pause(kind)
+    this.#process?.clock.pause(kind)
   }
 
   resume(): void {
-    this.#life?.clock.resume()
+    this.#process?.clock.resume()
   }
 
-  async #open(life: Life): Promise<void> {
+  async #open(started: StartedProcess): Promise<void> {
     const { member, links, logger, timings, random } = this.#opts
-    const { clock, files } = life
+    const { clock, files } = started
     const store = await FileLogStore.open({
       folder: '/log',
       clock,
@@ -156,19 +164,19 @@
       logger,
       metrics: new MetricsRegistry(),
       store,
-      transport: new MemberTransport(links, life),
-      port: new SilentPort(),
+      transport: new MemberTransport(links, started),
+      port: new UnreachablePort(),
       timings,
       limits,
       random,
     })
-    if (life.hasEnded) return
-    life.node = node
-    void this.#keepMembership(life, node)
+    if (started.hasEnded) return
+    started.node = node
+    void this.#keepMembership(started, node)
   }
 
-  /** As the processes do, which end also where a step of it fails. */
-  async #stopNode({ node }: Life): Promise<void> {
+  /** Stops the node as the platform's processes do: they end even if a step fails, so the error is only logged. */
+  async #stopNode({ node }: StartedProcess): Promise<void> {
     try {
       await node?.raft.transferLeadership()
       await node?.stop()
@@ -177,15 +185,15 @@
     }
   }
 
-  async #keepMembership(life: Life, node: BatchNode): Promise<void> {
+  async #keepMembership(started: StartedProcess, node: BatchNode): Promise<void> {
     const { links, findLeaderId, member } = this.#opts
     for (;;) {
       const leaderId = findLeaderId()
       if (!node.isMember && leaderId !== undefined) {
-        const joining = links.call(life, leaderId, (leader) => unwrap(leader.calls.join(member)))
+        const joining = links.call(started, leaderId, (leader) => unwrap(leader.calls.join(member)))
         await joining.catch(() => undefined)
       }
-      await life.clock.sleep(askEveryMs)
+      await started.clock.sleep(joinEveryMs)
     }
   }
 }
--- a/batch/service/__utils__/group/memberClock.ts
+++ b/batch/service/__utils__/group/memberClock.ts
@@ -1,23 +1,23 @@
 /**
- * The steady clock of one process on the clock of the world. Frozen, its timers wait although time goes on;
- * suspended, its time stands still as well.
+ * The monotonic clock of one process, driven by the clock of the group. While the process is frozen its timers do not
+ * fire although its time goes on; while it is suspended its time stands still as well.
  */
 import { sleepOn, type Clock, type ManualClock, type Timer } from '@nettlespur/core.clock'
 
-/** Sums of times differ by less than this; a shorter timer would be due at the same time for ever. */
+/** Sums of times differ by less than this; a shorter timer could become due again and again at the same time. */
 const roundingMs = 0.001
 
 export type PauseKind = 'freeze' | 'suspend'
 
 export class MemberClock implements Clock {
-  readonly #world: ManualClock
-  /** Of the time of the world, how much this process has not seen. */
+  readonly #groupClock: ManualClock
+  /** The time of the group's clock that passed while this process was suspended. */
   #missedMs = 0
   #paused: { readonly kind: PauseKind; readonly sinceMs: number } | undefined
-  #held: (() => void)[] = []
+  #deferred: (() => void)[] = []
 
-  constructor(world: ManualClock) {
-    this.#world = world
+  constructor(groupClock: ManualClock) {
+    this.#groupClock = groupClock
   }
 
   get isPaused(): boolean {
@@ -25,13 +25,13 @@
   }
 
   now(): Date {
-    return this.#world.now()
+    return this.#groupClock.now()
   }
 
   monotonicMs(): number {
-    const worldMs =
-      this.#paused?.kind === 'suspend' ? this.#paused.sinceMs : this.#world.monotonicMs()
-    return worldMs - this.#missedMs
+    const groupMs =
+      this.#paused?.kind === 'suspend' ? this.#paused.sinceMs : this.#groupClock.monotonicMs()
+    return groupMs - this.#missedMs
   }
 
   setTimer(delayMs: number, run: () => void): Timer {
@@ -41,11 +41,11 @@
     const fire = (): void => {
       if (cancelled) return
       const leftMs = dueMs - this.monotonicMs()
-      if (this.#paused !== undefined) this.#held.push(fire)
-      else if (leftMs > roundingMs) timer = this.#world.setTimer(leftMs, fire)
+      if (this.#paused !== undefined) this.#deferred.push(fire)
+      else if (leftMs > roundingMs) timer = this.#groupClock.setTimer(leftMs, fire)
       else run()
     }
-    timer = this.#world.setTimer(Math.max(delayMs, roundingMs), fire)
+    timer = this.#groupClock.setTimer(Math.max(delayMs, roundingMs), fire)
     return {
       cancel: () => {
         cancelled = true
@@ -58,25 +58,25 @@
     return sleepOn(this, durationMs, signal)
   }
 
-  /** Resolves at once, or when the process goes on. */
-  waitUntilAwake(): Promise<void> {
+  /** Resolves at once, or when the process is resumed. */
+  waitUntilResumed(): Promise<void> {
     if (this.#paused === undefined) return Promise.resolve()
     return new Promise((resolve) => {
-      this.#held.push(resolve)
+      this.#deferred.push(resolve)
     })
   }
 
   pause(kind: PauseKind): void {
-    this.#paused ??= { kind, sinceMs: this.#world.monotonicMs() }
+    this.#paused ??= { kind, sinceMs: this.#groupClock.monotonicMs() }
   }
 
   resume(): void {
     const paused = this.#paused
     if (paused === undefined) return
-    if (paused.kind === 'suspend') this.#missedMs += this.#world.monotonicMs() - paused.sinceMs
+    if (paused.kind === 'suspend') this.#missedMs += this.#groupClock.monotonicMs() - paused.sinceMs
     this.#paused = undefined
-    const held = this.#held
-    this.#held = []
-    for (const goOn of held) goOn()
+    const deferred = this.#deferred
+    this.#deferred = []
+    for (const run of deferred) run()
   }
 }
--- a/batch/service/__utils__/group/memberFiles.ts
+++ b/batch/service/__utils__/group/memberFiles.ts
@@ -1,4 +1,4 @@
-/** The files of one life of a process: they take the time of the disk, and nothing more once it has ended. */
+/** The files of one process: calls take as long as its disk does, and never end once the process has ended. */
 import { FileSystem, OpenFile } from '@nettlespur/storage.log'
 import type { MemoryFileSystem } from '@nettlespur/storage.log/fakes'
 import type { DiskState } from './diskState.js'
@@ -19,18 +19,19 @@
     this.#opts = opts
   }
 
-  /** The process is gone: what it was about to do is never done. */
+  /** The process has ended: its pending calls are never carried out. */
   end(): void {
     this.#hasEnded = true
   }
 
+  /** For calls that a full disk does not refuse: reads, and also new folders, renames, removals and truncations. */
   async read<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
-    await this.#opts.disk.pass()
+    await this.#opts.disk.waitWhileStalled()
     return this.#finish(run)
   }
 
   async write<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
-    await this.#opts.disk.pass()
+    await this.#opts.disk.waitWhileStalled()
     if (this.#opts.disk.isFull) throw Object.assign(new Error('no space left'), { code: 'ENOSPC' })
     return this.#finish(run)
   }
@@ -83,7 +84,7 @@
   async #finish<T>(run: (files: MemoryFileSystem) => Promise<T>): Promise<T> {
     if (this.#hasEnded) await new Promise<never>(() => undefined)
     const result = await run(this.#opts.files)
-    await this.#opts.clock.waitUntilAwake()
+    await this.#opts.clock.waitUntilResumed()
     return result
   }
 }
--- a/batch/service/__utils__/group/memberLinks.ts
+++ b/batch/service/__utils__/group/memberLinks.ts
@@ -1,18 +1,18 @@
-/** Links between the members of a group, in memory: messages take time, and links can be cut each way. */
+/** In-memory links between the members of a group: messages are delayed, and each direction can be cut by itself. */
 import type { ManualClock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { BatchNode } from '../../src/index.js'
 import type { MemberClock } from './memberClock.js'
 
-/** One way, over a few data centres. */
+/** In one direction, between data centres. */
 const longestDelayMs = 8
-/** A packet that was lost is sent again after some hundred milliseconds. */
-const resendMs = { shortest: 200, longest: 700 }
-/** Of the messages on a cut link, how many are still delivered once it is whole again. */
-const heldShare = 0.5
+/** TCP sends a lost packet again after some hundred milliseconds. */
+const retransmitMs = { shortest: 200, longest: 700 }
+/** The share of the messages on a cut link that are delivered once it has healed; the others are lost. */
+const deliveredAfterCutShare = 0.5
 
-/** One life of a member's process. */
-export interface MemberLife {
+/** One process of a member, from its start to its end. */
+export interface MemberProcess {
   readonly memberId: string
   readonly clock: MemberClock
   readonly node: BatchNode | undefined
@@ -20,12 +20,13 @@
 }
 
 export class MemberLinks {
-  readonly lives = new Map<string, MemberLife>()
-  /** Share of packets that are lost and sent again. */
+  /** The running process of each member, by member id. */
+  readonly processes = new Map<string, MemberProcess>()
+  /** The share of packets that are lost and sent again. */
   lossShare = 0
-  /** Ways that are cut, as `from to`. */
-  readonly #cut = new Set<string>()
-  #waiting: (() => void)[] = []
+  /** The directions that are cut, as `from to`. */
+  readonly #cutDirections = new Set<string>()
+  #heldMessages: (() => void)[] = []
   readonly #clock: ManualClock
   readonly #random: () => number
   readonly #callTimeoutMs: number
@@ -36,23 +37,23 @@
     this.#callTimeoutMs = callTimeoutMs
   }
 
-  cutWay(from: string, to: string): void {
-    this.#cut.add(`${from} ${to}`)
+  cutOneWay(from: string, to: string): void {
+    this.#cutDirections.add(`${from} ${to}`)
   }
 
   heal(): void {
-    this.#cut.clear()
+    this.#cutDirections.clear()
     this.lossShare = 0
-    const waiting = this.#waiting
-    this.#waiting = []
-    for (const goOn of waiting) goOn()
+    const held = this.#heldMessages
+    this.#heldMessages = []
+    for (const deliver of held) deliver()
   }
 
   /** Errors: rejects with `unreachable` and `outcome-unknown`, and as `run` does. */
-  call<T>(from: MemberLife, to: string, run: (node: BatchNode) => Promise<T>): Promise<T> {
+  call<T>(from: MemberProcess, to: string, run: (node: BatchNode) => Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       const timer = from.clock.setTimer(this.#callTimeoutMs, () => {
-        reject(new NettlespurError('outcome-unknown', `no answer of ${to}`))
+        reject(new NettlespurError('outcome-unknown', `no answer from ${to}`))
       })
       const settle = (finish: () => void): void => {
         timer.cancel()
@@ -74,36 +75,36 @@
   }
 
   async #exchange<T>(
-    from: MemberLife,
+    from: MemberProcess,
     to: string,
     run: (node: BatchNode) => Promise<T>,
   ): Promise<T> {
-    await this.#travel(from.memberId, to)
-    const life = this.lives.get(to)
-    if (life?.node === undefined) throw new NettlespurError('unreachable', `${to} is down`)
-    await life.clock.waitUntilAwake()
-    const [result] = await Promise.allSettled([run(life.node)])
-    await life.clock.waitUntilAwake()
-    // What is never answered: either end is another process now.
-    if (life.hasEnded || from.hasEnded) await new Promise<never>(() => undefined)
-    await this.#travel(to, from.memberId)
-    await from.clock.waitUntilAwake()
+    await this.#transmit(from.memberId, to)
+    const target = this.processes.get(to)
+    if (target?.node === undefined) throw new NettlespurError('unreachable', `${to} is down`)
+    await target.clock.waitUntilResumed()
+    const [result] = await Promise.allSettled([run(target.node)])
+    await target.clock.waitUntilResumed()
+    // A call is never answered if the process at either end has ended meanwhile.
+    if (target.hasEnded || from.hasEnded) await new Promise<never>(() => undefined)
+    await this.#transmit(to, from.memberId)
+    await from.clock.waitUntilResumed()
     if (result.status === 'rejected') throw result.reason
     return result.value
   }
 
-  async #travel(from: string, to: string): Promise<void> {
-    const { shortest, longest } = resendMs
+  async #transmit(from: string, to: string): Promise<void> {
+    const { shortest, longest } = retransmitMs
     const isLost = this.lossShare > 0 && this.#random() < this.lossShare
     const resentMs = isLost ? shortest + this.#random() * (longest - shortest) : 0
     await this.#clock.sleep(this.#random() * longestDelayMs + resentMs)
-    while (this.#cut.has(`${from} ${to}`)) await this.#waitForLink()
+    while (this.#cutDirections.has(`${from} ${to}`)) await this.#waitForLink()
   }
 
   async #waitForLink(): Promise<void> {
-    const isHeld = this.#random() < heldShare
+    const isHeld = this.#random() < deliveredAfterCutShare
     await new Promise<void>((resolve) => {
-      if (isHeld) this.#waiting.push(resolve)
+      if (isHeld) this.#heldMessages.push(resolve)
     })
   }
 }
--- a/batch/service/__utils__/group/silentPort.ts
+++ b/batch/service/__utils__/group/unreachablePort.ts
@@ -1,8 +1,8 @@
-/** Upstreams that never answer: a group of control alone. */
+/** A port without upstreams, for a control group by itself. */
 import { UpstreamPort } from '@nettlespur/batch.sessions'
 import { NettlespurError } from '@nettlespur/core.errors'
 
-export class SilentPort extends UpstreamPort {
+export class UnreachablePort extends UpstreamPort {
   override start = refuse
   override stop = refuse
   override hold = refuse
--- a/batch/service/__utils__/memberGroup.ts
+++ b/batch/service/__utils__/memberGroup.ts
@@ -1,4 +1,4 @@
-/** Members on loopback behind links that can fail, and a client of theirs, on one manual clock. */
+/** Fake members on loopback behind links that can fail, and a client of the group, on one manual clock. */
 import { ManualClock } from '@nettlespur/core.clock'
 import { LeaderClient, type LeaderClientOptions } from '../src/index.js'
 import { peerKey, startFakeMember, type FakeMember } from './fakeMember.js'
@@ -6,10 +6,10 @@
 import { createRecorder } from './recorder.js'
 
 /**
- * Turns of the event loop without a byte after which all that was on its way has come. Each has a timer of
- * its own, since calls are gathered for a turn of Node's timers before they are sent.
+ * Turns of the event loop without a byte on any link after which no message is under way. Each turn includes a timer,
+ * since calls are batched for one turn of Node's timers before they are sent.
  */
-const quietTurns = 10
+const idleTurns = 10
 
 interface LinkedMember {
   readonly member: FakeMember
@@ -30,7 +30,7 @@
       clock: this.clock,
       peerKey,
       seeds: linked.map(({ link }) => link.address),
-      // Compression runs in other threads, and would be on its way unseen.
+      // Compression runs in other threads, so a message could be under way while the links are idle.
       compresses: false,
     })
   }
@@ -44,29 +44,29 @@
   }
 
   member(at: number): FakeMember {
-    return this.#at(at).member
+    return this.#linkedMember(at).member
   }
 
   link(at: number): MemberLink {
-    return this.#at(at).link
+    return this.#linkedMember(at).link
   }
 
-  /** The members named say from now on that this one leads. */
-  lead(at: number, term: number, saidBy: readonly number[]): void {
+  /** From now on the members in `namedBy` name this one as the leader. */
+  nameLeader(at: number, term: number, namedBy: readonly number[]): void {
     const memberAddresses = this.#linked.map(({ link }) => link.address)
-    for (const each of saidBy) {
+    for (const each of namedBy) {
       this.member(each).view = { leaderAddress: this.link(at).address, term, memberAddresses }
     }
   }
 
-  /** Moves time on whenever nothing is on its way, until the work is over; gives how long it took. */
+  /** Advances the clock whenever no message is under way, until the work has ended; returns how long that took. */
   async settle<T>(work: Promise<T>): Promise<{ readonly outcome: T; readonly tookMs: number }> {
     const startMs = this.clock.monotonicMs()
     const ends: number[] = []
     void work.then(() => ends.push(this.clock.monotonicMs()))
     const isOver = (): boolean => ends.length > 0
     while (!isOver()) {
-      await this.#becomeQuiet(isOver)
+      await this.#waitUntilIdle(isOver)
       const { nextDueMs } = this.clock
       if (isOver() || nextDueMs === undefined) continue
       await this.clock.advance(nextDueMs - this.clock.monotonicMs())
@@ -82,17 +82,17 @@
     }
   }
 
-  async #becomeQuiet(isOver: () => boolean): Promise<void> {
-    let moved = -1
-    for (let turn = 0; turn < quietTurns && !isOver(); turn++) {
-      const nowMoved = this.#linked.reduce((sum, { link }) => sum + link.moved, 0)
-      if (nowMoved !== moved) turn = 0
-      moved = nowMoved
+  async #waitUntilIdle(isOver: () => boolean): Promise<void> {
+    let chunksBefore = -1
+    for (let turn = 0; turn < idleTurns && !isOver(); turn++) {
+      const chunksNow = this.#linked.reduce((sum, { link }) => sum + link.chunksRead, 0)
+      if (chunksNow !== chunksBefore) turn = 0
+      chunksBefore = chunksNow
       await new Promise((resolve) => setTimeout(() => setImmediate(resolve), 1))
     }
   }
 
-  #at(at: number): LinkedMember {
+  #linkedMember(at: number): LinkedMember {
     const linked = this.#linked[at]
     if (linked === undefined) throw new Error(`no member ${at}`)
     return linked
--- a/batch/service/__utils__/recorder.ts
+++ b/batch/service/__utils__/recorder.ts
@@ -1,12 +1,12 @@
-/** A logger that keeps what is logged at info, and the figures beside it. */
+/** A logger that keeps its lines from the level info on, and a metrics registry. */
 import type { LogEvent, Logger } from '@nettlespur/core.logger'
 import { MetricsRegistry } from '@nettlespur/core.metrics'
 
 export interface Recorder {
   readonly logger: Logger
   readonly metrics: MetricsRegistry
-  /** The lines of one event so far. */
-  readonly named: (event: string) => LogEvent[]
+  /** The lines logged so far with this event. */
+  readonly findEvents: (event: string) => LogEvent[]
 }
 
 export function createRecorder(): Recorder {
@@ -15,6 +15,7 @@
     events.push(event)
   }
   const logger = { debug: () => undefined, info: keep, warn: keep, error: keep }
-  const named = (event: string): LogEvent[] => events.filter((logged) => logged.event === event)
-  return { logger, metrics: new MetricsRegistry(), named }
+  const findEvents = (event: string): LogEvent[] =>
+    events.filter((logged) => logged.event === event)
+  return { logger, metrics: new MetricsRegistry(), findEvents }
 }
--- a/batch/service/test/batchLeader.test.ts
+++ b/batch/service/test/batchLeader.test.ts
@@ -1,15 +1,15 @@
-/** What the leader does in single situations, on a manual clock. */
+/** Single scenarios of the leader's work, on a manual clock. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { FakeFleet, settledMs, startFleet, upstreamCount } from '../__utils__/index.js'
 
-/** An upstream ends a run at the latest this long after it is told to. */
+/** An upstream ends a run at most this long after the order to stop it. */
 const stopMs = 400
-/** The longest that an upstream runs on without being told to, with what its clock may lag. */
+/** The longest time for which an upstream keeps its runs without a new lease, including the lag of its clock. */
 const leaseMs = 9500 * 1.03
 
-/** Takes a whole upstream for each task. */
-function createLarge(jobId: string, taskCount: number, expectedRunTimeMs = 10_000) {
+/** Creates a gang job of which each task needs a whole upstream. */
+function createWholeUpstreamJob(jobId: string, taskCount: number, expectedRunTimeMs = 10_000) {
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   return createJob(jobId, { taskCount, needs, expectedRunTimeMs, isGang: true })
 }
@@ -18,7 +18,7 @@
   return fleet.ledger.starts.filter((run) => run.jobId === jobId).length
 }
 
-test('an upstream that is about to leave is recorded before it is answered, and gets no more work', async (t) => {
+test('a draining upstream is recorded as such before its announcement is answered, and gets no more work', async (t) => {
   const fleet = await startFleet()
   const draining = fleet.drain(0)
   let isRecorded: boolean | undefined
@@ -27,25 +27,27 @@
   })
   await fleet.clock.advance(settledMs)
   t.true(isRecorded)
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(settledMs)
   t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(0)).size, 0)
   t.is(fleet.ledger.starts.length, upstreamCount - 1)
 })
 
-test('the next leader still knows which upstream is about to leave', async (t) => {
+test('a new leader knows which upstream is draining', async (t) => {
   const fleet = await startFleet()
   const draining = fleet.drain(0)
   await fleet.clock.advance(settledMs)
   await draining
   fleet.elect()
   await fleet.clock.advance(settledMs)
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(settledMs)
   t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(0)).size, 0)
 })
 
-test('what runs of a cancelled job is stopped, and what waits of it never starts', async (t) => {
+test('the running tasks of a cancelled job are stopped, and its waiting tasks never start', async (t) => {
   const fleet = await startFleet()
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   fleet.submit(createJob('j', { taskCount: 6, needs, expectedRunTimeMs: 5000 }), 1)
@@ -59,11 +61,11 @@
   t.is(countStarted(fleet, 'j'), upstreamCount)
 })
 
-test('guaranteed work begins once those who borrow its accelerators have stopped', async (t) => {
+test('guaranteed work starts once the runs that borrow its accelerators have stopped', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('borrower', upstreamCount), 1)
+  fleet.submit(createWholeUpstreamJob('borrower', upstreamCount), 1)
   await fleet.clock.advance(settledMs)
-  fleet.submit(createLarge('guaranteed', 2, 1000), 0)
+  fleet.submit(createWholeUpstreamJob('guaranteed', 2, 1000), 0)
   await fleet.clock.advance(stopMs + 100)
   t.is(countStarted(fleet, 'guaranteed'), 2)
   await fleet.clock.advance(30_000)
@@ -71,49 +73,49 @@
   t.deepEqual(fleet.ledger.violations, [])
 })
 
-test('a gang of which one start stays unanswered is given up before its members wait in vain', async (t) => {
+test('a gang with an unanswered start is stopped before its started members give up waiting for it', async (t) => {
   const fleet = await startFleet()
-  fleet.apply({ kind: 'cut', upstream: 0, forMs: 20_000 })
-  fleet.submit(createLarge('gang', upstreamCount, 1000), 1)
+  fleet.inject({ kind: 'cut', upstream: 0, forMs: 20_000 })
+  fleet.submit(createWholeUpstreamJob('gang', upstreamCount, 1000), 1)
   await fleet.clock.advance(2900)
   t.is(countStarted(fleet, 'gang'), upstreamCount - 1)
   const left = [...fleet.state.placements.upstreamIds]
   t.deepEqual(left, [fleet.upstreamIdOf(0)])
 })
 
-/** Number of the upstream on which the only task of the job is placed. */
-function findPlace(fleet: FakeFleet, jobId: string): number {
+/** Index of the upstream on which the only task of the job is placed. */
+function findUpstreamIndex(fleet: FakeFleet, jobId: string): number {
   const upstreamId = fleet.state.jobs.get(jobId)?.steps[0]?.tasks[0]?.upstreamId ?? ''
   return fleet.listUpstreamIds().indexOf(upstreamId)
 }
 
-test('what ran on an upstream that has left starts elsewhere at once, and not after a silence', async (t) => {
+test('a run on an upstream that has announced that it leaves starts elsewhere at once, without a timeout', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('j', 1), 1)
+  fleet.submit(createWholeUpstreamJob('j', 1), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'j'), 1)
-  fleet.leave(findPlace(fleet, 'j'))
+  fleet.leave(findUpstreamIndex(fleet, 'j'))
   await fleet.clock.advance(1000)
   t.is(countStarted(fleet, 'j'), 2)
 })
 
-test('what ran on an upstream that is lost for good starts elsewhere once its lease is over', async (t) => {
+test('a run on an upstream that is lost for good starts elsewhere once its lease is over', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('j', 1, 60_000), 1)
+  fleet.submit(createWholeUpstreamJob('j', 1, 60_000), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'j'), 1)
-  fleet.lose(findPlace(fleet, 'j'))
+  fleet.crashForGood(findUpstreamIndex(fleet, 'j'))
   await fleet.clock.advance(leaseMs + settledMs)
   t.is(countStarted(fleet, 'j'), 2)
 })
 
-test('what cannot end before its upstream leaves starts elsewhere at once, and what can is left to end', async (t) => {
+test('a run that cannot end before its upstream leaves starts elsewhere at once, and one that can is left to end', async (t) => {
   const fleet = await startFleet()
-  fleet.submit(createLarge('long', 1, 20_000), 1)
-  fleet.submit(createLarge('short', 1, 4000), 1)
+  fleet.submit(createWholeUpstreamJob('long', 1, 20_000), 1)
+  fleet.submit(createWholeUpstreamJob('short', 1, 4000), 1)
   await fleet.clock.advance(settledMs)
-  void fleet.drain(findPlace(fleet, 'long'), 4500)
-  void fleet.drain(findPlace(fleet, 'short'), 4500)
+  void fleet.drain(findUpstreamIndex(fleet, 'long'), 4500)
+  void fleet.drain(findUpstreamIndex(fleet, 'short'), 4500)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'long'), 2)
   await fleet.clock.advance(settledMs)
@@ -121,53 +123,55 @@
   t.is(fleet.state.jobs.get('short')?.status, 'completed')
 })
 
-test('what saves its progress works on until shortly before its upstream leaves', async (t) => {
+test('a run that saves checkpoints goes on until shortly before its upstream leaves', async (t) => {
   const fleet = await startFleet()
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 8 }
   fleet.submit(createJob('j', { needs, expectedRunTimeMs: 20_000, checkpoints: true }), 1)
   await fleet.clock.advance(settledMs)
-  void fleet.drain(findPlace(fleet, 'j'), 4500)
+  void fleet.drain(findUpstreamIndex(fleet, 'j'), 4500)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'j'), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'j'), 2)
 })
 
-/** Three announcements are missing by then, and some. */
-const unheardMs = 5000
-/** Far below the time to the next announcement. */
+/** Longer than three announcement intervals. */
+const missedAnnouncementsMs = 5000
+/** Far shorter than the announcement interval. */
 const takeoverMs = 500
 
 test('a new leader gives work to idle upstreams before they announce themselves to it', async (t) => {
   const fleet = await startFleet()
   fleet.elect()
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(takeoverMs)
   t.is(fleet.ledger.starts.length, upstreamCount)
 })
 
-test('a new leader gives no work to an upstream that answers nothing', async (t) => {
+test('a new leader gives no work to an upstream that does not answer', async (t) => {
   const fleet = await startFleet()
-  fleet.apply({ kind: 'cut', upstream: 0, forMs: 20_000 })
+  fleet.inject({ kind: 'cut', upstream: 0, forMs: 20_000 })
   fleet.elect()
-  for (let job = 0; job < upstreamCount; job++) fleet.submit(createLarge(`j${job}`, 1), 1)
+  for (let job = 0; job < upstreamCount; job++)
+    fleet.submit(createWholeUpstreamJob(`j${job}`, 1), 1)
   await fleet.clock.advance(takeoverMs)
   t.is(fleet.ledger.starts.length, upstreamCount - 1)
   t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(0)).size, 0)
 })
 
-test('a new leader stops nothing for work that upstreams have room for which answer a little later', async (t) => {
+test('a new leader preempts nothing for work that fits on upstreams which answer a little later', async (t) => {
   const fleet = new FakeFleet({ clockRate: 1, lateMs: 1000, failures: [], linksMs: [1, 60] })
   fleet.elect()
   await fleet.clock.advance(settledMs)
-  fleet.submit(createLarge('borrower', upstreamCount / 2), 1)
+  fleet.submit(createWholeUpstreamJob('borrower', upstreamCount / 2), 1)
   await fleet.clock.advance(500)
   fleet.elect()
-  fleet.submit(createLarge('guaranteed', 2, 1000), 0)
+  fleet.submit(createWholeUpstreamJob('guaranteed', 2, 1000), 0)
   await fleet.clock.advance(takeoverMs)
   t.is(countStarted(fleet, 'guaranteed'), 2)
   t.is(countStarted(fleet, 'borrower'), 2)
-  t.is(fleet.state.placements.getByUpstream(findFirstPlace(fleet, 'borrower')).size, 1)
+  t.is(fleet.state.placements.getByUpstream(findFirstUpstreamId(fleet, 'borrower')).size, 1)
 })
 
 test('an upstream that answers but no longer announces itself gets no new work', async (t) => {
@@ -175,15 +179,15 @@
   const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 1 }
   fleet.submit(createJob('running', { needs, expectedRunTimeMs: 60_000 }), 1)
   await fleet.clock.advance(settledMs)
-  const at = findPlace(fleet, 'running')
-  fleet.mute(at)
-  await fleet.clock.advance(unheardMs)
+  const at = findUpstreamIndex(fleet, 'running')
+  fleet.stopAnnouncing(at)
+  await fleet.clock.advance(missedAnnouncementsMs)
   fleet.submit(createJob('more', { taskCount: 3, needs, expectedRunTimeMs: 60_000 }), 1)
   await fleet.clock.advance(settledMs)
   t.is(countStarted(fleet, 'more'), 3)
   t.is(fleet.state.placements.getByUpstream(fleet.upstreamIdOf(at)).size, 1)
 })
 
-function findFirstPlace(fleet: FakeFleet, jobId: string): string {
+function findFirstUpstreamId(fleet: FakeFleet, jobId: string): string {
   return fleet.state.jobs.get(jobId)?.steps[0]?.tasks[0]?.upstreamId ?? ''
 }
--- a/batch/service/test/callLog.test.ts
+++ b/batch/service/test/callLog.test.ts
@@ -1,4 +1,4 @@
-/** What is left in the log of calls to the leader: enough to follow one job, and no more a second. */
+/** What the log keeps of calls to the leader: enough to follow one job, in a bounded number of lines a second. */
 import { ManualClock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
@@ -17,7 +17,7 @@
   return { name: `call-${sort}`, subject, kind: sort, remote: refuse, local: refuse }
 }
 
-function startTrial() {
+function createFixture() {
   const clock = new ManualClock()
   const recorder = createRecorder()
   const log = new CallLog({ clock, ...recorder })
@@ -35,25 +35,25 @@
   return { clock, log, note, ...recorder }
 }
 
-test('reads that are answered in time are named together in one line a second', async (t) => {
-  const { clock, note, named } = startTrial()
+test('reads that are answered in time share one summary line a second', async (t) => {
+  const { clock, note, findEvents } = createFixture()
   await note('a', 'read')
   await note('b', 'read', { tookMs: 40 })
-  t.deepEqual(named('calls.answered'), [])
+  t.deepEqual(findEvents('calls.answered'), [])
   await clock.advance(1000)
-  t.deepEqual(named('call.answered'), [])
-  t.like(named('calls.answered'), [
+  t.deepEqual(findEvents('call.answered'), [])
+  t.like(findEvents('calls.answered'), [
     { call: 'call-read', calls: 2, meanMs: 30, maxMs: 40, searched: 0, slow: 0 },
   ])
-  t.deepEqual(named('calls.answered')[0]?.subjects, ['a', 'b'])
+  t.deepEqual(findEvents('calls.answered')[0]?.subjects, ['a', 'b'])
   await clock.advance(5000)
-  t.is(named('calls.answered').length, 1)
+  t.is(findEvents('calls.answered').length, 1)
 })
 
-test('a slow read says what it waited on, how old the belief was and what its caller gave it', async (t) => {
-  const { note, named } = startTrial()
+test('the line of a slow read shows its attempts, how long its leader was known and the deadline of its caller', async (t) => {
+  const { note, findEvents } = createFixture()
   await note('a', 'read', { tookMs: 720, wait: { deadlineMs: 3000 } })
-  t.like(named('call.answered')[0], {
+  t.like(findEvents('call.answered')[0], {
     call: 'call-read',
     subject: 'a',
     outcome: 'done',
@@ -66,54 +66,54 @@
     searchMs: 0,
     attempts: 1,
   })
-  t.deepEqual(named('call.answered')[0]?.attemptEnds, [`done@${leader}+720ms`])
+  t.deepEqual(findEvents('call.answered')[0]?.attemptEnds, [`done@${leader}+720ms`])
 })
 
-test('a read whose caller went away before its answer has a line, however fast it was', async (t) => {
-  const { note, named, metrics } = startTrial()
+test('a read whose caller left before the answer has its own line, however fast it was', async (t) => {
+  const { note, findEvents, metrics } = createFixture()
   await note('a', 'read', { wait: { gone: AbortSignal.abort() } })
-  t.like(named('call.answered'), [{ subject: 'a', outcome: 'done', callerIsGone: true }])
+  t.like(findEvents('call.answered'), [{ subject: 'a', outcome: 'done', callerIsGone: true }])
   t.is(metrics.counterValue('calls_call_read_caller_gone_total'), 1)
 })
 
-test('each failed call and each change has a line, and what is repeated by itself none', async (t) => {
-  const { clock, note, named } = startTrial()
+test('each failed call and each change has its own line, and a repeated call that succeeds has none', async (t) => {
+  const { clock, note, findEvents } = createFixture()
   const error = new NettlespurError('outcome-unknown', 'silent')
   await note('a', 'read', { error })
   await note('b', 'change')
   await note('c', 'repeated')
   await note('d', 'repeated', { error })
   await clock.advance(1000)
-  const lines = named('call.answered').map(({ subject, outcome }) => [subject, outcome])
+  const lines = findEvents('call.answered').map(({ subject, outcome }) => [subject, outcome])
   t.deepEqual(lines, [
     ['a', 'outcome-unknown'],
     ['b', 'done'],
     ['d', 'outcome-unknown'],
   ])
-  t.deepEqual(named('calls.answered'), [])
+  t.deepEqual(findEvents('calls.answered'), [])
 })
 
 test('a burst of slow reads leaves a bounded number of lines, and the summary counts the rest', async (t) => {
-  const { clock, log, named } = startTrial()
+  const { clock, log, findEvents } = createFixture()
   const traces = Array.from({ length: 200 }, () => new CallTrace(clock, {}))
   await clock.advance(500)
   for (const [at, trace] of traces.entries()) {
     log.record(createOperation(`job-${at}`, 'read'), trace, leader)
   }
   await clock.advance(1000)
-  t.is(named('call.answered').length, 20)
-  t.like(named('calls.answered'), [{ calls: 180, slow: 180, unnamed: 30 }])
-  t.is((named('calls.answered')[0]?.subjects as string[]).length, 150)
+  t.is(findEvents('call.answered').length, 20)
+  t.like(findEvents('calls.answered'), [{ calls: 180, slow: 180, unnamed: 30 }])
+  t.is((findEvents('calls.answered')[0]?.subjects as string[]).length, 150)
 })
 
-test('what waits for its summary is written at the end of the process', async (t) => {
-  const { log, note, named } = startTrial()
+test('closing the log writes the pending summary', async (t) => {
+  const { log, note, findEvents } = createFixture()
   await note('a', 'read')
   log.close()
-  t.like(named('calls.answered'), [{ calls: 1 }])
+  t.like(findEvents('calls.answered'), [{ calls: 1 }])
 })
 
-test('a search for the leader is counted with its time', async (t) => {
+test('a search for the leader is counted, and its duration recorded', async (t) => {
   const clock = new ManualClock()
   const trace = new CallTrace(clock, {})
   const found = trace.trackSearch(() => clock.sleep(300))
@@ -122,7 +122,7 @@
   t.like(trace.describe(), { tookMs: 300, searches: 1, searchMs: 300, attempts: 0 })
 })
 
-test('a call of a member that has no outcome yet is shown as open', async (t) => {
+test('an attempt that has no outcome yet is shown as open', async (t) => {
   const clock = new ManualClock()
   const trace = new CallTrace(clock, {})
   trace.startAttempt(belief)
--- a/batch/service/test/fullDisks.test.ts
+++ b/batch/service/test/fullDisks.test.ts
@@ -1,31 +1,30 @@
 /**
- * Members whose disks were full for a moment. The model of a calm group showed on its seeds 20 and 26 that such
- * a member takes part no more until its process starts again: after 0.5 s without room it still refused every
- * entry and every vote as `disk-full` 16 s later, and named a leader of old. Three of them in turn, and a group of
- * five has no majority that writes, though no disk is full any more.
+ * Guards against members that stay out of the group after their disk was full for a moment: such a member goes on
+ * refusing every entry and every vote as `disk-full` until its process restarts, and names a former leader. Once this
+ * has happened to three of five members in turn, no majority can write although no disk is full any more.
  */
 import test from 'ava'
-import { checkCalm, ControlGroup, playGroup } from '../__utils__/group/index.js'
+import { checkRecovery, ControlGroup, simulateGroup } from '../__utils__/group/index.js'
 
 const fullMs = 600
-const betweenMs = 5000
+const pauseMs = 5000
 
-test('a group whose disks were full one after the other, each for a moment, answers as before', async (t) => {
-  const group = await ControlGroup.found(1)
+test('a group recovers after each of its disks in turn was full for a moment', async (t) => {
+  const group = await ControlGroup.bootstrap(1)
   for (const { disk } of group.members) {
     disk.isFull = true
     await group.clock.advance(fullMs)
     disk.heal()
-    await group.clock.advance(betweenMs)
+    await group.clock.advance(pauseMs)
   }
-  const { readyAfterMs } = await checkCalm(group)
-  t.deepEqual(group.faults, [], group.lines.slice(-40).join('\n'))
+  const { readyAfterMs } = await checkRecovery(group)
+  t.deepEqual(group.violations, [], group.trace.slice(-40).join('\n'))
   t.truthy(readyAfterMs)
 })
 
-test('schedules with full disks after which members took part no more are survived', async (t) => {
+test('a group recovers from fault schedules with full disks that can leave members out', async (t) => {
   for (const seed of [20, 26]) {
-    const { group } = await playGroup(seed)
-    t.deepEqual(group.faults, [], `seed ${seed}\n${group.describe()}`)
+    const { group } = await simulateGroup(seed)
+    t.deepEqual(group.violations, [], `seed ${seed}\n${group.describe()}`)
   }
 })
--- a/batch/service/test/leaderModel.test.ts
+++ b/batch/service/test/leaderModel.test.ts
@@ -1,18 +1,18 @@
 /**
- * The leader's work against upstreams with faulty links, over many schedules: late orders, lost answers,
- * rows that cannot be read, cuts, crashes with new lives at the same address, changes of the leader. Time is a
+ * Property test of the leader with upstreams behind faulty links, over many schedules: late orders, lost answers,
+ * rows that cannot be read, cuts, crashes with a new process at the same address, and leader changes. Time is a
  * manual clock.
  */
 import type { JobRequest, StepSpec } from '@nettlespur/batch.model'
 import test from 'ava'
 import fc from 'fast-check'
 import assert from 'node:assert/strict'
-import { FakeFleet, upstreamCount, type FleetTrouble, type LinkFault } from '../__utils__/index.js'
+import { FakeFleet, upstreamCount, type FleetFault, type LinkFault } from '../__utils__/index.js'
 
-const troubledMs = 20_000
-const calmMs = 90_000
-/** Ten a second for each upstream: long polls need one in two seconds, and one for each end. */
-const looksMax = (10 * upstreamCount * (troubledMs + calmMs)) / 1000
+const faultPhaseMs = 20_000
+const recoveryMs = 90_000
+/** Ten calls a second for each upstream: long polls need one every two seconds, and one for each run that ends. */
+const maxHoldCalls = (10 * upstreamCount * (faultPhaseMs + recoveryMs)) / 1000
 
 const linkFault = fc.constantFrom<LinkFault>(
   'answer-lost',
@@ -21,13 +21,13 @@
   'silent',
   'unread-rows',
 )
-const trouble: fc.Arbitrary<FleetTrouble> = fc.oneof(
+const fleetFault: fc.Arbitrary<FleetFault> = fc.oneof(
   fc.record({
     kind: fc.constant('fault' as const),
     fault: linkFault,
     calls: fc.integer({ min: 1, max: 6 }),
   }),
-  // Looks in a row of which the leader can read every second row, at whichever upstreams are asked.
+  // In the answers to this many hold calls in a row, to any upstream, the leader can read only every second row.
   fc.record({
     kind: fc.constant('fault' as const),
     fault: fc.constantFrom<LinkFault>('unread-rows', 'hidden-rows'),
@@ -58,7 +58,7 @@
   )
   .map((steps) =>
     steps.map(({ taskCount, accelerators, expectedRunTimeMs, isGang }, at) => ({
-      // A gang has to fit whole into what the upstreams have.
+      // A gang must fit on the upstreams as a whole.
       taskCount: Math.min(taskCount, upstreamCount),
       needs: { cpuMillicores: 100, memoryMiB: 100, accelerators },
       expectedRunTimeMs,
@@ -74,16 +74,16 @@
     minLength: 1,
     maxLength: 6,
   }),
-  troubles: fc.array(fc.record({ atMs: fc.nat(troubledMs), trouble }), { maxLength: 10 }),
+  faults: fc.array(fc.record({ atMs: fc.nat(faultPhaseMs), fault: fleetFault }), { maxLength: 10 }),
   failures: fc.array(fc.nat(9), { minLength: 5, maxLength: 5 }),
   clockRate: fc.constantFrom(0.98, 0.99, 1),
   lateMs: fc.integer({ min: 300, max: 12_000 }),
   linksMs: fc.array(fc.integer({ min: 1, max: 90 }), { minLength: 1, maxLength: 7 }),
 })
 
-test('whatever links, upstreams and leaders do, no task runs twice, too early or after its end, and every job ends', async (t) => {
+test('with any faults of links, upstreams and leaders, no task runs twice, too early or after its end, and every job ends', async (t) => {
   await fc.assert(
-    fc.asyncProperty(schedule, async ({ jobs, troubles, ...opts }) => {
+    fc.asyncProperty(schedule, async ({ jobs, faults, ...opts }) => {
       const fleet = new FakeFleet(opts)
       fleet.elect()
       jobs.forEach(({ atMs, steps, priority }, at) => {
@@ -92,26 +92,26 @@
           fleet.submit(request, priority)
         })
       })
-      for (const { atMs, trouble } of troubles) {
+      for (const { atMs, fault } of faults) {
         fleet.clock.setTimer(atMs, () => {
-          fleet.apply(trouble)
+          fleet.inject(fault)
         })
       }
-      await fleet.clock.advance(troubledMs)
-      fleet.calm()
-      await fleet.clock.advance(calmMs)
+      await fleet.clock.advance(faultPhaseMs)
+      fleet.healLinks()
+      await fleet.clock.advance(recoveryMs)
       fleet.leader?.stop()
       assert.deepEqual(fleet.ledger.violations, [])
       assert.deepEqual([...fleet.state.unsettled.keys()], [])
       assert.deepEqual(listUnfinished(fleet), [])
-      assert.ok(fleet.port.looks < looksMax, `${fleet.port.looks} looks`)
+      assert.ok(fleet.port.holdCalls < maxHoldCalls, `${fleet.port.holdCalls} hold calls`)
     }),
     { numRuns: 60, includeErrorInReport: true },
   )
   t.pass()
 })
 
-/** Jobs shown as completed of which a task has not been done. */
+/** Tasks that were not done although their job is shown as completed. */
 function listUnfinished({ state, ledger }: FakeFleet): string[] {
   return [...state.jobs.values()]
     .filter(({ status }) => status === 'completed')
--- a/batch/service/test/refusedStarts.test.ts
+++ b/batch/service/test/refusedStarts.test.ts
@@ -1,28 +1,28 @@
-/** Starts that upstreams refuse: how often they are given again. */
+/** How often starts that upstreams refuse are retried. */
 import { createJob } from '@nettlespur/batch.samples'
 import test from 'ava'
 import { startFleet, upstreamCount } from '../__utils__/index.js'
 
 const needs = { cpuMillicores: 100, memoryMiB: 100, accelerators: 4 }
 
-test('an upstream whose room has shrunk unannounced is not asked again for what it refuses before it announces itself', async (t) => {
+test('an upstream that refuses a start for lack of capacity is not asked again before its next announcement', async (t) => {
   const fleet = await startFleet()
   for (let at = 0; at < upstreamCount; at++) {
     fleet.resize(at, 3)
-    fleet.mute(at)
+    fleet.stopAnnouncing(at)
   }
   fleet.submit(createJob('j', { needs }), 1)
   await fleet.clock.advance(1000)
-  t.is(fleet.port.starts, upstreamCount)
+  t.is(fleet.port.startCalls, upstreamCount)
 })
 
-test('a task that upstreams refuse for what it is starts ever more rarely, and at last', async (t) => {
+test('a task that upstreams refuse as invalid is retried ever more rarely, and completes once they accept it', async (t) => {
   const fleet = await startFleet()
-  fleet.apply({ kind: 'fault', fault: 'invalid-starts', calls: 10_000 })
+  fleet.inject({ kind: 'fault', fault: 'invalid-starts', calls: 10_000 })
   fleet.submit(createJob('j', { needs }), 1)
   await fleet.clock.advance(10_000)
-  t.true(fleet.port.starts < 20, `${fleet.port.starts} starts`)
-  fleet.calm()
+  t.true(fleet.port.startCalls < 20, `${fleet.port.startCalls} starts`)
+  fleet.healLinks()
   await fleet.clock.advance(10_000)
   t.is(fleet.state.jobs.get('j')?.status, 'completed')
 })
