--- a/control/service/src/claimCalls.ts
+++ b/control/service/src/claimCalls.ts
@@ -33,15 +33,15 @@
     return Promise.all(changes.map(commit))
   }
 
-  async await({ waitMs, ...key }: ClaimQuery): Promise<Claim | null> {
+  async awaitClaim({ waitMs, ...key }: ClaimQuery): Promise<Claim | null> {
     const { clock, holder, log } = this.#opts
     await unwrap(log.readBarrier())
     const isOpen = (): boolean => {
       const claim = holder.state.getClaim(key)
       return claim !== undefined && !isResolved(claim)
     }
-    const known = holder.applied.pipe(filter(() => !isOpen()))
-    await waitForWake(clock, waitMs, known, this.#session.ended)
+    const resolved = holder.applied.pipe(filter(() => !isOpen()))
+    await waitForWake(clock, waitMs, resolved, this.#session.ended)
     await unwrap(log.readBarrier())
     return holder.state.getClaim(key) ?? null
   }
--- a/control/service/src/claimResolver.ts
+++ b/control/service/src/claimResolver.ts
@@ -23,7 +23,7 @@
 const shortestPauseMs = 250
 const longestPauseMs = 4000
 const pauseFactor = 2
-const resolvedAtOnce = 32
+const claimsPerRoundMax = 32
 const statusOk = 200
 
 interface Pause {
@@ -56,46 +56,46 @@
       const seen = holder.state.appliedIndex
       await this.resolveDue(signal)
       // What falls due by time waits for the tick, so that a commit costs no look at every claim's time.
-      const news = holder.applied.pipe(
-        filter((index) => index > seen && this.#listHandedOver().length > 0),
+      const released = holder.applied.pipe(
+        filter((index) => index > seen && this.#listReleased().length > 0),
       )
-      await waitForWake(clock, tickMs, news, signal)
+      await waitForWake(clock, tickMs, released, signal)
     }
   }
 
   /** One round over the claims that are due now. */
   async resolveDue(signal: AbortSignal): Promise<void> {
-    const due = this.#listDue().slice(0, resolvedAtOnce)
+    const due = this.#listDue().slice(0, claimsPerRoundMax)
     await Promise.all(due.map((claim) => this.#resolve(claim, signal)))
-    const live = new Set(this.#opts.holder.state.listUnresolvedClaims().map(nameOf))
+    const live = new Set(this.#opts.holder.state.listUnresolvedClaims().map(createTargetKey))
     this.#pauses = new Map([...this.#pauses].filter(([name]) => live.has(name)))
   }
 
   /** Those whose entry has given up, or that were taken from it, and that do not pause. */
-  #listHandedOver(): Claim[] {
+  #listReleased(): Claim[] {
     return this.#opts.holder.state
       .listUnresolvedClaims()
       .filter((claim) => claim.outcome !== undefined && !this.#isPaused(claim))
   }
 
   #listDue(): Claim[] {
-    const wallMs = this.#opts.clock.now().getTime()
-    const isLeft = (claim: Claim): boolean =>
-      !this.#entries.mayLive(claim.entryId) || Date.parse(claim.resolveFrom) <= wallMs
+    const nowMs = this.#opts.clock.now().getTime()
+    const isAbandoned = (claim: Claim): boolean =>
+      !this.#entries.mayLive(claim.entryId) || Date.parse(claim.resolveFrom) <= nowMs
     return this.#opts.holder.state
       .listUnresolvedClaims()
-      .filter((claim) => claim.outcome !== undefined || isLeft(claim))
+      .filter((claim) => claim.outcome !== undefined || isAbandoned(claim))
       .filter((claim) => !this.#isPaused(claim))
   }
 
   #isPaused(claim: Claim): boolean {
-    const untilMs = this.#pauses.get(nameOf(claim))?.untilMs ?? 0
+    const untilMs = this.#pauses.get(createTargetKey(claim))?.untilMs ?? 0
     return untilMs > this.#opts.clock.monotonicMs()
   }
 
   async #resolve(claim: Claim, signal: AbortSignal): Promise<void> {
-    const learned = await tryAsync(() => this.#learn(claim, signal)).run()
-    learned.caseOf({
+    const result = await tryAsync(() => this.#determineOutcome(claim, signal)).run()
+    result.caseOf({
       Left: (error) => {
         this.#pause(claim, error.message)
       },
@@ -107,25 +107,25 @@
   }
 
   /** Undefined while the task runs. */
-  async #learn(claim: Claim, signal: AbortSignal): Promise<ClaimOutcome | undefined> {
+  async #determineOutcome(claim: Claim, signal: AbortSignal): Promise<ClaimOutcome | undefined> {
     const { address, taskId, attempt } = claim.target
     const status = await unwrap(this.#opts.client.getTask(address, taskId))
     if (signal.aborted) return undefined
     if (status.state !== 'unknown' && status.state !== 'reserved') {
-      return this.#settle(claim, status)
+      return this.#commitOutcome(claim, status)
     }
-    const taken = await this.#take(claim)
+    const taken = await this.#takeOver(claim)
     if (isResolved(taken)) return taken.outcome
     // Moved or opened anew in between: what the former target says is no outcome any more.
     if (taken.target.taskId !== taskId || taken.target.attempt !== attempt) return undefined
     const stop = { address, taskId, fence: taken.fence }
-    return this.#settle(
+    return this.#commitOutcome(
       taken,
       await unwrap(this.#opts.client.stop(stop, { jobId: taskId, graceMs: 0 })),
     )
   }
 
-  async #take({ workspace, key, fence }: Claim): Promise<Claim> {
+  async #takeOver({ workspace, key, fence }: Claim): Promise<Claim> {
     const at = this.#opts.clock.now().toISOString()
     const taken = this.#opts.log
       .propose({ type: 'claim.take', at, workspace, key, fence })
@@ -133,7 +133,7 @@
     return unwrap(taken)
   }
 
-  async #settle(claim: Claim, status: TaskStatus): Promise<ClaimOutcome | undefined> {
+  async #commitOutcome(claim: Claim, status: TaskStatus): Promise<ClaimOutcome | undefined> {
     const outcome = await this.#readOutcome(claim, status)
     if (outcome === undefined) return undefined
     const { log, clock, timings } = this.#opts
@@ -151,7 +151,10 @@
     const { address, taskId, session } = claim.target
     switch (status.state) {
       case 'finished':
-        return this.#collect({ address, taskId, fence: status.fence }, status.answerBytes ?? 0)
+        return this.#collectAnswer(
+          { address, taskId, fence: status.fence },
+          status.answerBytes ?? 0,
+        )
       case 'failed':
       case 'stopped':
       case 'lease-expired':
@@ -169,7 +172,7 @@
   }
 
   /** An answer too large to keep stays with its upstream, and out of this process's memory. */
-  async #collect(task: TaskReference, bodyBytes: number): Promise<ClaimOutcome> {
+  async #collectAnswer(task: TaskReference, bodyBytes: number): Promise<ClaimOutcome> {
     if (bodyBytes > claimAnswerBytesMax) return { kind: 'answered', status: statusOk, bodyBytes }
     const collected = await this.#opts.client.getTypedAnswer(task).run()
     if (collected.isLeft()) {
@@ -188,9 +191,9 @@
   }
 
   #pause(claim: Claim, reason: string): void {
-    const former = this.#pauses.get(nameOf(claim))?.pauseMs ?? 0
+    const former = this.#pauses.get(createTargetKey(claim))?.pauseMs ?? 0
     const pauseMs = Math.min(longestPauseMs, Math.max(shortestPauseMs, former * pauseFactor))
-    this.#pauses.set(nameOf(claim), {
+    this.#pauses.set(createTargetKey(claim), {
       pauseMs,
       untilMs: this.#opts.clock.monotonicMs() + pauseMs,
     })
@@ -211,6 +214,6 @@
 }
 
 /** One target of one claim. */
-function nameOf({ workspace, target }: Claim): string {
+function createTargetKey({ workspace, target }: Claim): string {
   return `${workspace} ${target.taskId} ${target.attempt}`
 }
--- a/control/service/src/contractCalls.ts
+++ b/control/service/src/contractCalls.ts
@@ -11,19 +11,19 @@
 import type { LeaderSession } from './leaderSession.js'
 import type { ControlNodeOptions } from './nodeOptions.js'
 
-const unknownRetryAfterMs = 1000
+const upstreamsUnknownRetryAfterMs = 1000
 
 export class ContractCalls {
   readonly #opts: ControlNodeOptions
-  #last: Promise<unknown> = Promise.resolve()
+  #lastChange: Promise<unknown> = Promise.resolve()
 
   constructor(opts: ControlNodeOptions) {
     this.#opts = opts
   }
 
   apply(session: LeaderSession, change: ContractChange): Promise<ContractRecord> {
-    const applied = this.#last.then(() => this.#applyNext(session, change))
-    this.#last = applied.catch(() => undefined)
+    const applied = this.#lastChange.then(() => this.#applyNext(session, change))
+    this.#lastChange = applied.catch(() => undefined)
     return applied
   }
 
@@ -51,16 +51,18 @@
     const wasInUse = state.listContracts().length > 0
     // A cluster that has never had an upstream cannot be judged; the plan tells what is missing.
     if (upstreams.length === 0 && !wasInUse) return
-    const up = upstreams.map((view) => {
+    const withSuspectsReady = upstreams.map((view) => {
       return view.state === 'suspect' ? { ...view, state: 'ready' as const } : view
     })
     const now = this.#opts.clock.now()
-    const view = createPlacementView({ state, upstreams: up, now })
+    const view = createPlacementView({ state, upstreams: withSuspectsReady, now })
     const infeasible = findInfeasible(view, contract)
     if (infeasible === undefined) return
     if (!session.knowsUpstreams) {
       const message = 'not all upstreams have announced themselves to the new leader yet'
-      throw new NettlespurError('no-upstream', message, { retryAfterMs: unknownRetryAfterMs })
+      throw new NettlespurError('no-upstream', message, {
+        retryAfterMs: upstreamsUnknownRetryAfterMs,
+      })
     }
     const { message, wouldFit } = infeasible
     throw new NettlespurError('infeasible-contract', message, { hint: `would fit: ${wouldFit}` })
--- a/control/service/src/controlNode.ts
+++ b/control/service/src/controlNode.ts
@@ -44,11 +44,11 @@
 export class ControlNode extends ControlApi {
   readonly #opts: ControlNodeOptions
   readonly #contracts: ContractCalls
-  readonly #following: Subscription
+  readonly #leadershipSubscription: Subscription
   #session: LeaderSession | undefined
   #leadership: Leadership | undefined
   /** The end of the former leadership: the next one starts after it. */
-  #switched: Promise<void> = Promise.resolve()
+  #lastSessionEnd: Promise<void> = Promise.resolve()
 
   constructor(opts: ControlNodeOptions) {
     super()
@@ -58,8 +58,8 @@
     opts.metrics.gauge('jobs_live', () => opts.holder.state.listLiveJobs().length)
     opts.metrics.gauge('claims_unresolved', () => opts.holder.state.listUnresolvedClaims().length)
     opts.metrics.gauge('contract_index', () => opts.holder.state.contractIndex)
-    this.#following = opts.log.leadership.subscribe((leadership) => {
-      this.#follow(leadership)
+    this.#leadershipSubscription = opts.log.leadership.subscribe((leadership) => {
+      this.#handleLeadership(leadership)
     })
   }
 
@@ -75,17 +75,17 @@
 
   /** Ends the leadership here; calls that wait are answered. The log is left to its owner. */
   async stop(): Promise<void> {
-    this.#following.unsubscribe()
+    this.#leadershipSubscription.unsubscribe()
     this.#endSession()
-    await this.#switched
+    await this.#lastSessionEnd
   }
 
   applyContract(change: ContractChange): EitherAsync<NettlespurError, ContractRecord> {
-    return this.#lead('applyContract', (session) => this.#contracts.apply(session, change))
+    return this.#runAsLeader('applyContract', (session) => this.#contracts.apply(session, change))
   }
 
   listContracts(workspace?: string): EitherAsync<NettlespurError, ContractView[]> {
-    return this.#lead('listContracts', async (session) => {
+    return this.#runAsLeader('listContracts', async (session) => {
       await unwrap(this.#opts.log.readBarrier())
       const records = this.#opts.holder.state
         .listContracts()
@@ -101,56 +101,66 @@
   }
 
   submitJob(request: JobRequest): EitherAsync<NettlespurError, JobView> {
-    return this.#lead('submitJob', (session) => new JobCalls(this.#opts, session).submit(request))
+    return this.#runAsLeader('submitJob', (session) =>
+      new JobCalls(this.#opts, session).submit(request),
+    )
   }
 
   getJob(reference: JobReference): EitherAsync<NettlespurError, JobView> {
-    return this.#lead('getJob', (session) => new JobCalls(this.#opts, session).get(reference))
+    return this.#runAsLeader('getJob', (session) =>
+      new JobCalls(this.#opts, session).get(reference),
+    )
   }
 
   awaitAnswer(request: AnswerRequest): EitherAsync<NettlespurError, JobOutcome> {
-    return this.#lead('awaitAnswer', (session) =>
+    return this.#runAsLeader('awaitAnswer', (session) =>
       new JobCalls(this.#opts, session).awaitAnswer(request),
     )
   }
 
   explainJob(reference: JobReference): EitherAsync<NettlespurError, JobExplanation> {
-    return this.#lead('explainJob', (session) =>
+    return this.#runAsLeader('explainJob', (session) =>
       new JobCalls(this.#opts, session).explain(reference),
     )
   }
 
   cancelJob(reference: JobReference): EitherAsync<NettlespurError, JobView> {
-    return this.#lead('cancelJob', (session) => new JobCalls(this.#opts, session).cancel(reference))
+    return this.#runAsLeader('cancelJob', (session) =>
+      new JobCalls(this.#opts, session).cancel(reference),
+    )
   }
 
   changeClaims(changes: readonly ClaimChange[]): EitherAsync<NettlespurError, RpcResult<Claim>[]> {
-    return this.#lead('changeClaims', (session) =>
+    return this.#runAsLeader('changeClaims', (session) =>
       new ClaimCalls(this.#opts, session).change(changes),
     )
   }
 
   awaitClaim(query: ClaimQuery): EitherAsync<NettlespurError, Claim | null> {
-    return this.#lead('awaitClaim', (session) => new ClaimCalls(this.#opts, session).await(query))
+    return this.#runAsLeader('awaitClaim', (session) =>
+      new ClaimCalls(this.#opts, session).awaitClaim(query),
+    )
   }
 
   announce(announcements: Announcements): EitherAsync<NettlespurError, null> {
-    return this.#lead('announce', (session) => {
+    return this.#runAsLeader('announce', (session) => {
       session.announce(announcements)
       return Promise.resolve(null)
     })
   }
 
   watch(request: WatchRequest): EitherAsync<NettlespurError, ClusterUpdate> {
-    return this.#lead('watch', (session) => watchCluster(this.#opts, session, request))
+    return this.#runAsLeader('watch', (session) => watchCluster(this.#opts, session, request))
   }
 
   getStatus(): EitherAsync<NettlespurError, ClusterStatus> {
-    return this.#lead('getStatus', (session) => Promise.resolve(createStatus(this.#opts, session)))
+    return this.#runAsLeader('getStatus', (session) =>
+      Promise.resolve(createStatus(this.#opts, session)),
+    )
   }
 
   getReport(): EitherAsync<NettlespurError, ClusterReport> {
-    return this.#lead('getReport', async (session) => {
+    return this.#runAsLeader('getReport', async (session) => {
       await unwrap(this.#opts.log.readBarrier())
       const { holder, clock } = this.#opts
       return createReport(holder.state, session.upstreams.list(), clock.now())
@@ -158,11 +168,13 @@
   }
 
   listMembers(): EitherAsync<NettlespurError, MemberView[]> {
-    return this.#lead('listMembers', () => Promise.resolve([...this.#opts.log.describe().members]))
+    return this.#runAsLeader('listMembers', () =>
+      Promise.resolve([...this.#opts.log.describe().members]),
+    )
   }
 
   addMember(member: NewMember): EitherAsync<NettlespurError, null> {
-    return this.#lead('addMember', async () => {
+    return this.#runAsLeader('addMember', async () => {
       await unwrap(this.#opts.log.addMember(member))
       this.#opts.logger.info({ event: 'member.added', ...member })
       return null
@@ -170,25 +182,25 @@
   }
 
   removeMember(memberId: string): EitherAsync<NettlespurError, null> {
-    return this.#lead('removeMember', async () => {
+    return this.#runAsLeader('removeMember', async () => {
       await unwrap(this.#opts.log.removeMember(memberId))
       this.#opts.logger.info({ event: 'member.removed', memberId })
       return null
     })
   }
 
-  #lead<T>(
+  #runAsLeader<T>(
     call: keyof ControlApi,
     run: (session: LeaderSession) => Promise<T>,
   ): EitherAsync<NettlespurError, T> {
     return tryAsync(() => {
       this.#opts.metrics.count(`control_calls_total{call="${call}"}`)
-      if (this.#session === undefined) return Promise.reject(this.#createNotLeader())
+      if (this.#session === undefined) return Promise.reject(this.#createNotLeaderError())
       return run(this.#session)
     })
   }
 
-  #createNotLeader(): NettlespurError {
+  #createNotLeaderError(): NettlespurError {
     const leader = this.#leadership?.leaderAddress
     const known = leader !== undefined && this.#leadership?.isLeader === false
     const hint = known
@@ -200,7 +212,7 @@
     })
   }
 
-  #follow(leadership: Leadership): void {
+  #handleLeadership(leadership: Leadership): void {
     this.#leadership = leadership
     const { isLeader, term } = leadership
     if (this.#session !== undefined && (!isLeader || this.#session.term !== term)) {
@@ -213,7 +225,7 @@
     const session = new LeaderSession(this.#opts, term)
     this.#session = session
     this.#opts.logger.info({ event: 'control.leads', term, epoch: session.epoch })
-    this.#switched = this.#switched.then(() => {
+    this.#lastSessionEnd = this.#lastSessionEnd.then(() => {
       if (this.#session === session) session.start()
     })
   }
@@ -224,6 +236,6 @@
     this.#session = undefined
     this.#opts.logger.info({ event: 'control.leads-no-more', term: session.term })
     const stopped = session.stop()
-    this.#switched = this.#switched.then(() => stopped)
+    this.#lastSessionEnd = this.#lastSessionEnd.then(() => stopped)
   }
 }
--- a/control/service/src/createExplanation.ts
+++ b/control/service/src/createExplanation.ts
@@ -24,8 +24,8 @@
     waitReason ?? job.reason,
     `${asks}; queued since ${since}, attempt ${job.attempts + 1}`,
     ...describeHolders(opts),
-    ...describeAhead(opts),
-    ...describeAvoided(opts),
+    ...describeJobsAhead(opts),
+    ...describeAvoidedUpstreams(opts),
   ]
 }
 
@@ -88,7 +88,7 @@
   return request.repeatable ? ', may be stopped' : ', is not stopped'
 }
 
-function describeAhead({ state, job }: ExplainOptions): string[] {
+function describeJobsAhead({ state, job }: ExplainOptions): string[] {
   const ahead: JobRecord[] = []
   for (const other of state.listLiveJobs()) {
     if (other.jobId === job.jobId) break
@@ -101,7 +101,7 @@
   return [`${ahead.length} jobs were submitted before it and wait too${names}`]
 }
 
-function describeAvoided({ upstreams, job }: ExplainOptions): string[] {
+function describeAvoidedUpstreams({ upstreams, job }: ExplainOptions): string[] {
   const quarantined = upstreams.filter((view) => view.state === 'quarantined')
   const ids = quarantined.map((view) => view.upstreamId)
   const lines = ids.length === 0 ? [] : [`quarantined upstreams take no part: ${ids.join(', ')}`]
--- a/control/service/src/createPlacementView.ts
+++ b/control/service/src/createPlacementView.ts
@@ -36,7 +36,7 @@
       ...describeJob(opts, job),
       blocks: placement.members,
       isStopping: state === 'stopping' || job.preemption !== undefined,
-      startedAtMs: state === 'reserving' ? undefined : findLast(job, 'job.started'),
+      startedAtMs: state === 'reserving' ? undefined : findLastEventMs(job, 'job.started'),
       checkpointedAtMs: undefined,
       attempts: job.attempts,
     },
@@ -48,7 +48,7 @@
   const submittedAtMs = Date.parse(job.submittedAt)
   const tooEarly = retryAt !== undefined && Date.parse(retryAt) > opts.now.getTime()
   const heldBack = tooEarly ? `tried again from ${retryAt} on` : undefined
-  const queuedAtMs = findLast(job, 'job.requeued') ?? submittedAtMs
+  const queuedAtMs = findLastEventMs(job, 'job.requeued') ?? submittedAtMs
   return { ...describeJob(opts, job), submittedAtMs, queuedAtMs, heldBack }
 }
 
@@ -67,7 +67,7 @@
 }
 
 /** When this last happened to the job. */
-function findLast({ decisions }: JobRecord, event: string): number | undefined {
+function findLastEventMs({ decisions }: JobRecord, event: string): number | undefined {
   const found = decisions.findLast((decision) => decision.event === event)
   return found === undefined ? undefined : Date.parse(found.at)
 }
--- a/control/service/src/createReport.ts
+++ b/control/service/src/createReport.ts
@@ -7,7 +7,7 @@
 import { createPlacementView } from './createPlacementView.js'
 
 const highestTrackableMs = 604_800_000
-const middlePercentile = 50
+const medianPercentile = 50
 const highPercentile = 99
 
 type Quantiles = ClusterReport['cluster']['completion']
@@ -51,7 +51,7 @@
   return {
     count,
     meanMs: count === 0 ? 0 : histogram.mean,
-    p50Ms: count === 0 ? 0 : histogram.getValueAtPercentile(middlePercentile),
+    p50Ms: count === 0 ? 0 : histogram.getValueAtPercentile(medianPercentile),
     p99Ms: count === 0 ? 0 : histogram.getValueAtPercentile(highPercentile),
   }
 }
--- a/control/service/src/decideProbes.ts
+++ b/control/service/src/decideProbes.ts
@@ -11,7 +11,7 @@
 /** One for each upstream at most, so that a round shows no more trust than the one before has earned. */
 export function decideProbes(opts: DecideRoundOptions): PlaceDecision[] {
   const probes: PlaceDecision[] = []
-  const due = opts.view.upstreams.filter((upstream) => isDue(opts, upstream))
+  const due = opts.view.upstreams.filter((upstream) => isProbeDue(opts, upstream))
   for (const upstream of due) {
     const probe = decideProbe(opts, upstream, new Set(probes.map(({ jobId }) => jobId)))
     if (probe !== undefined) probes.push(probe)
@@ -19,12 +19,12 @@
   return probes
 }
 
-function isDue(
+function isProbeDue(
   { state, now }: DecideRoundOptions,
-  { upstreamId, state: stands }: UpstreamView,
+  { upstreamId, state: upstreamState }: UpstreamView,
 ): boolean {
   const quarantine = state.getUpstreamHealth(upstreamId)?.quarantine
-  if (stands !== 'quarantined' || quarantine === undefined) return false
+  if (upstreamState !== 'quarantined' || quarantine === undefined) return false
   const gangs = state.listLiveJobs().filter(({ placement }) => {
     return placement?.members.some((member) => member.upstreamId === upstreamId) === true
   })
@@ -41,7 +41,7 @@
     .slice(0, candidatesMax)
   for (const job of candidates) {
     const record = opts.state.getLiveJob(job.jobId)
-    if (record === undefined || !mayProbe(opts, job, record, upstream.upstreamId)) continue
+    if (record === undefined || !canProbe(opts, job, record, upstream.upstreamId)) continue
     const map = new ClusterMap([{ ...upstream, state: 'ready' }], opts.view.running)
     const blocks = fitGang(map, job, new FreeChooser())
     const reason = `probes ${upstream.upstreamId}, which is quarantined, with a job that may be stopped`
@@ -50,7 +50,7 @@
   return undefined
 }
 
-function mayProbe(
+function canProbe(
   { view }: DecideRoundOptions,
   job: WaitingJob,
   { request, failedUpstreamIds }: JobRecord,
--- a/control/service/src/decideRound.ts
+++ b/control/service/src/decideRound.ts
@@ -25,13 +25,16 @@
 
 export function decideRound(opts: DecideRoundOptions): PlacementDecision[] {
   const probes = decideProbes(opts)
-  const view = withPlaced(opts.view, probes)
-  const waiting = view.waiting.map((job) => withAvoided(opts, job))
+  const view = assumePlaced(opts.view, probes)
+  const waiting = view.waiting.map((job) => addAvoidedUpstreams(opts, job))
   return [...probes, ...opts.policy.decide({ ...view, waiting })]
 }
 
 /** A job avoids where it failed, as long as the rest could hold it. */
-function withAvoided({ state, policy, view }: DecideRoundOptions, job: WaitingJob): WaitingJob {
+function addAvoidedUpstreams(
+  { state, policy, view }: DecideRoundOptions,
+  job: WaitingJob,
+): WaitingJob {
   const failedIds = state.getLiveJob(job.jobId)?.failedUpstreamIds ?? []
   if (failedIds.length === 0) return job
   const avoidedUpstreamIds = new Set(failedIds)
@@ -40,7 +43,7 @@
 }
 
 /** The view in which these jobs are placed already. */
-function withPlaced(view: PlacementView, probes: readonly PlaceDecision[]): PlacementView {
+function assumePlaced(view: PlacementView, probes: readonly PlaceDecision[]): PlacementView {
   const blocks = new Map(probes.map((probe) => [probe.jobId, probe.blocks]))
   const placed = view.waiting.flatMap((job) => {
     const found = blocks.get(job.jobId)
--- a/control/service/src/entryTable.ts
+++ b/control/service/src/entryTable.ts
@@ -35,15 +35,15 @@
     this.#startMs = opts.clock.monotonicMs()
   }
 
-  hear({ entry, contractIndex, leaving }: WatchRequest): void {
+  recordWatch({ entry, contractIndex, leaving }: WatchRequest): void {
     const former = this.#rows.get(entry.entryId)
     if (leaving) {
-      if (this.#rows.delete(entry.entryId)) this.#raise()
+      if (this.#rows.delete(entry.entryId)) this.#incrementVersion()
       return
     }
     const heardMs = this.#opts.clock.monotonicMs()
     this.#rows.set(entry.entryId, { entry, contractIndex, heardMs })
-    if (JSON.stringify(former?.entry) !== JSON.stringify(entry)) this.#raise()
+    if (JSON.stringify(former?.entry) !== JSON.stringify(entry)) this.#incrementVersion()
   }
 
   /** Drops entries whose lease has ended; called often. */
@@ -52,7 +52,7 @@
     for (const [entryId, row] of this.#rows) {
       if (nowMs - row.heardMs < this.#opts.dropAfterMs) continue
       this.#rows.delete(entryId)
-      this.#raise()
+      this.#incrementVersion()
     }
   }
 
@@ -62,7 +62,7 @@
 
   /** False where it is certain that this entry holds no lease any more. */
   mayLive(entryId: string): boolean {
-    return this.#rows.has(entryId) || this.#mayHaveUnheard()
+    return this.#rows.has(entryId) || this.#mayHaveUnheardEntries()
   }
 
   listPositions(): { entryId: string; contractIndex: number }[] {
@@ -77,19 +77,19 @@
     const rows = [...this.#rows.values()]
     const inForce = rows.filter((row) => row.contractIndex >= changeIndex)
     const notYet = rows.filter((row) => row.contractIndex < changeIndex)
-    const former = this.#mayHaveUnheard() ? [entriesNotHeardYet] : []
+    const former = this.#mayHaveUnheardEntries() ? [entriesNotHeardYet] : []
     return {
       inForceAt: inForce.map((row) => row.entry.entryId),
       notYetInForceAt: [...notYet.map((row) => row.entry.entryId), ...former],
     }
   }
 
-  #mayHaveUnheard(): boolean {
+  #mayHaveUnheardEntries(): boolean {
     const { clock, dropAfterMs, mayHaveFormerEntries } = this.#opts
     return mayHaveFormerEntries && clock.monotonicMs() - this.#startMs < dropAfterMs
   }
 
-  #raise(): void {
+  #incrementVersion(): void {
     this.#opts.version.next(this.#opts.version.value + 1)
   }
 }
--- a/control/service/src/impossibleJobs.ts
+++ b/control/service/src/impossibleJobs.ts
@@ -3,7 +3,7 @@
 import type { RoundDecision } from './decideRound.js'
 
 /** Upstreams that restart and operators who mend a contract have this long. */
-const endAfterMs = 60_000
+const refuseAfterMs = 60_000
 
 export class ImpossibleJobs {
   readonly #clock: Clock
@@ -19,7 +19,7 @@
     const refused = decisions.filter((decision) => decision.kind === 'refuse')
     this.#sinceMs = new Map(refused.map(({ jobId }) => [jobId, this.#sinceMs.get(jobId) ?? nowMs]))
     return refused.filter(({ jobId }) => {
-      return nowMs - (this.#sinceMs.get(jobId) ?? nowMs) >= endAfterMs
+      return nowMs - (this.#sinceMs.get(jobId) ?? nowMs) >= refuseAfterMs
     })
   }
 }
--- a/control/service/src/jobCalls.ts
+++ b/control/service/src/jobCalls.ts
@@ -26,38 +26,38 @@
 
   async submit(request: JobRequest): Promise<JobView> {
     this.#checkFeasible(request)
-    return this.#view(await this.#commit({ type: 'job.submit', at: this.#now(), request }))
+    return this.#createView(await this.#commit({ type: 'job.submit', at: this.#now(), request }))
   }
 
   async get(reference: JobReference): Promise<JobView> {
-    return this.#view(await this.#read(reference))
+    return this.#createView(await this.#readJob(reference))
   }
 
   async cancel({ workspace, jobId }: JobReference): Promise<JobView> {
     const at = this.#now()
-    return this.#view(await this.#commit({ type: 'job.cancel', at, workspace, jobId }))
+    return this.#createView(await this.#commit({ type: 'job.cancel', at, workspace, jobId }))
   }
 
   async explain(reference: JobReference): Promise<JobExplanation> {
-    const job = await this.#read(reference)
+    const job = await this.#readJob(reference)
     const waitsFor = createExplanation({
       state: this.#opts.holder.state,
       upstreams: this.#session.upstreams.list(),
       job,
       waitReason: this.#session.placements.getWaitReason(job.jobId),
     })
-    return { job: this.#view(job), waitsFor, decisions: job.decisions }
+    return { job: this.#createView(job), waitsFor, decisions: job.decisions }
   }
 
   async awaitAnswer({ waitMs, ...reference }: AnswerRequest): Promise<JobOutcome> {
     const { clock, holder } = this.#opts
-    await this.#read(reference)
+    await this.#readJob(reference)
     const ended = holder.applied.pipe(filter(() => !this.#isLive(reference)))
     await waitForWake(clock, waitMs, ended, this.#session.ended)
-    const job = await this.#read(reference)
-    if (job.state !== 'finished') return { job: this.#view(job) }
+    const job = await this.#readJob(reference)
+    if (job.state !== 'finished') return { job: this.#createView(job) }
     const answer = holder.state.getAnswer(reference.workspace, reference.jobId)
-    if (answer !== undefined) return { job: this.#view(job), answer }
+    if (answer !== undefined) return { job: this.#createView(job), answer }
     throw new NettlespurError(
       'answer-expired',
       `${job.jobId} finished; its answer is no longer kept`,
@@ -79,7 +79,7 @@
     )
   }
 
-  async #read({ workspace, jobId }: JobReference): Promise<JobRecord> {
+  async #readJob({ workspace, jobId }: JobReference): Promise<JobRecord> {
     await unwrap(this.#opts.log.readBarrier())
     const job = this.#opts.holder.state.getJob(workspace, jobId)
     if (job !== undefined) return job
@@ -99,10 +99,12 @@
   }
 
   /** A queued job's reason is what the last placement round found. */
-  #view(job: JobRecord): JobView {
+  #createView(job: JobRecord): JobView {
     const view = toJobView(job)
-    const waits = this.#session.placements.getWaitReason(job.jobId)
-    return job.state === 'queued' && waits !== undefined ? { ...view, reason: waits } : view
+    const waitReason = this.#session.placements.getWaitReason(job.jobId)
+    return job.state === 'queued' && waitReason !== undefined
+      ? { ...view, reason: waitReason }
+      : view
   }
 
   #now(): string {
--- a/control/service/src/leaderSession.ts
+++ b/control/service/src/leaderSession.ts
@@ -88,7 +88,7 @@
   }
 
   start(): void {
-    this.#lifecycle.ownTask('placement', (signal) => this.#place(signal))
+    this.#lifecycle.ownTask('placement', (signal) => this.#runPlacement(signal))
     this.#lifecycle.ownTask('claims', (signal) => this.#resolveClaims(signal))
     this.#lifecycle.ownTask('refresh', (signal) => this.#refresh(signal))
     // Registered last so that it runs first: who leads no more renews no lease.
@@ -101,23 +101,23 @@
 
   announce({ items }: Announcements): void {
     for (const { upstreamId, announcement } of items) {
-      this.upstreams.hear(upstreamId, announcement)
+      this.upstreams.recordAnnouncement(upstreamId, announcement)
       for (const report of announcement.tasks) this.#taskReports.next(report)
     }
   }
 
   /** Nothing is decided before the state holds all that former leaders committed. */
-  async #place(signal: AbortSignal): Promise<void> {
-    await this.#waitForState(signal)
+  async #runPlacement(signal: AbortSignal): Promise<void> {
+    await this.#waitForCommittedState(signal)
     if (!signal.aborted) await this.placements.run(signal)
   }
 
   async #resolveClaims(signal: AbortSignal): Promise<void> {
-    await this.#waitForState(signal)
+    await this.#waitForCommittedState(signal)
     if (!signal.aborted) await new ClaimResolver(this.#opts, this.entries).run(signal)
   }
 
-  async #waitForState(signal: AbortSignal): Promise<void> {
+  async #waitForCommittedState(signal: AbortSignal): Promise<void> {
     const { log, clock } = this.#opts
     while ((await log.readBarrier().run()).isLeft()) {
       await clock.sleep(barrierRetryMs, signal)
--- a/control/service/src/listMoves.ts
+++ b/control/service/src/listMoves.ts
@@ -4,7 +4,7 @@
 import type { PreemptDecision } from '@nettlespur/placement.engine'
 
 /** A gang whose preemption was given up is left alone for this long. */
-const keptForMs = 30_000
+const keptJobCooldownMs = 30_000
 
 /** Unlike a decision of placement, it may be for no job. */
 export type Preemption = Omit<PreemptDecision, 'forJobId'> & {
@@ -26,8 +26,8 @@
   })
 }
 
-export function mayPreempt(job: JobRecord, now: Date): boolean {
+export function canPreempt(job: JobRecord, now: Date): boolean {
   if (job.state === 'stopping') return false
   const kept = job.decisions.findLast((decision) => decision.event === 'job.kept')
-  return kept === undefined || now.getTime() - Date.parse(kept.at) >= keptForMs
+  return kept === undefined || now.getTime() - Date.parse(kept.at) >= keptJobCooldownMs
 }
--- a/control/service/src/placementLoop.ts
+++ b/control/service/src/placementLoop.ts
@@ -12,16 +12,16 @@
 import { createPlacementView } from './createPlacementView.js'
 import { decideRound, type RoundDecision } from './decideRound.js'
 import { ImpossibleJobs } from './impossibleJobs.js'
-import { listMoves, mayPreempt, type Preemption } from './listMoves.js'
+import { listMoves, canPreempt, type Preemption } from './listMoves.js'
 import type { ControlNodeOptions } from './nodeOptions.js'
 import { RunTimeLearner } from './runTimeLearner.js'
 import type { UpstreamTable } from './upstreamTable.js'
 
 /** Changes within this time are decided on together. */
-const settleMs = 10
+const batchingDelayMs = 10
 const tickMs = 1000
 /** Lines about jobs that wait in one round; one more line counts the rest. */
-const waitLinesMax = 20
+const waitLogLinesMax = 20
 
 export interface PlacementLoopOptions {
   node: ControlNodeOptions
@@ -55,27 +55,27 @@
     while (!signal.aborted) {
       const seenIndex = holder.state.appliedIndex
       const seenVersion = version.value
-      await this.#tryPlace(signal)
+      await this.#runRound(signal)
       const wakes = merge(
         holder.applied.pipe(filter((index) => index > seenIndex)),
         version.pipe(filter((value) => value > seenVersion)),
       )
-      await waitForWake(clock, this.#pickPauseMs(), wakes, signal)
-      await clock.sleep(settleMs, signal)
+      await waitForWake(clock, this.#computePauseMs(), wakes, signal)
+      await clock.sleep(batchingDelayMs, signal)
     }
   }
 
   /** One failed round must not end the loop. */
-  async #tryPlace(signal: AbortSignal): Promise<void> {
+  async #runRound(signal: AbortSignal): Promise<void> {
     try {
-      await this.#placeOnce(signal)
+      await this.#decideAndApply(signal)
     } catch (thrown) {
       const reason = toNettlespurError(thrown).message
       this.#opts.node.logger.error({ event: 'placement.round-failed', reason })
     }
   }
 
-  async #placeOnce(signal: AbortSignal): Promise<void> {
+  async #decideAndApply(signal: AbortSignal): Promise<void> {
     const { node, upstreams, gangs } = this.#opts
     upstreams.refresh()
     gangs.recover()
@@ -92,7 +92,7 @@
     })
     const reasons = new Map<string, string>()
     const decisions = decideRound({ policy: node.policy, view, state, now })
-    this.#tellMissing(describeShapes(node.policy.plan.missing))
+    this.#logMissingShapes(describeShapes(node.policy.plan.missing))
     const moves = listMoves(state, views)
     for (const decision of [...moves, ...decisions]) {
       if (signal.aborted) return
@@ -101,7 +101,7 @@
       else reasons.set(decision.jobId, decision.reason)
     }
     await this.#refuseImpossible(decisions)
-    this.#keepReasons(reasons)
+    this.#updateWaitReasons(reasons)
   }
 
   /** The runner of the gang is woken by the change of its job. */
@@ -110,7 +110,7 @@
     const { jobId, forJobId, withCheckpoint, reason } = decision
     const job = holder.state.getLiveJob(jobId)
     const fence = job?.placement?.fence
-    if (job === undefined || fence === undefined || !mayPreempt(job, clock.now())) return
+    if (job === undefined || fence === undefined || !canPreempt(job, clock.now())) return
     const at = clock.now().toISOString()
     const command = { type: 'job.preempt' as const, at, jobId, fence, withCheckpoint, reason }
     const proposed = forJobId === undefined ? command : { ...command, forJobId }
@@ -163,7 +163,7 @@
   }
 
   /** A guaranteed shape that no accelerators can be kept for is an alarm, and so is the end of one. */
-  #tellMissing(missing: string): void {
+  #logMissingShapes(missing: string): void {
     if (missing === this.#missingShapes) return
     this.#missingShapes = missing
     const { logger } = this.#opts.node
@@ -171,19 +171,19 @@
     else logger.error({ event: 'plan.infeasible', missing })
   }
 
-  #keepReasons(reasons: Map<string, string>): void {
+  #updateWaitReasons(reasons: Map<string, string>): void {
     const { logger } = this.#opts.node
     const changed = [...reasons].filter(([id, reason]) => this.#waitReasons.get(id) !== reason)
-    for (const [jobId, reason] of changed.slice(0, waitLinesMax)) {
+    for (const [jobId, reason] of changed.slice(0, waitLogLinesMax)) {
       logger.info({ event: 'placement.waits', jobId, reason })
     }
-    const more = changed.length - waitLinesMax
+    const more = changed.length - waitLogLinesMax
     if (more > 0) logger.info({ event: 'placement.more-wait', jobs: more })
     this.#waitReasons = reasons
   }
 
   /** Until the next tick, or until a job that was tried may be tried again. */
-  #pickPauseMs(): number {
+  #computePauseMs(): number {
     const { holder, clock } = this.#opts.node
     const nowMs = clock.now().getTime()
     const due = holder.state
--- a/control/service/src/upstreamTable.ts
+++ b/control/service/src/upstreamTable.ts
@@ -66,14 +66,14 @@
   }
 
   /** Announcements of one upstream may overtake each other: a fresh leaving outweighs a ready after it. */
-  hear(upstreamId: string, announcement: Announcement): void {
+  recordAnnouncement(upstreamId: string, announcement: Announcement): void {
     const nowMs = this.#opts.clock.monotonicMs()
     const former = this.#rows.get(upstreamId)
     const leavingMs = announcement.state === 'leaving' ? nowMs : former?.leavingMs
     const leaving = leavingMs !== undefined && nowMs - leavingMs < this.#opts.suspectMs
-    const state = leaving ? 'leaving' : this.#readyOrQuarantined(upstreamId)
+    const state = leaving ? 'leaving' : this.#pickReadyOrQuarantined(upstreamId)
     const view = toView(upstreamId, announcement, state)
-    this.#put({ view, heardMs: nowMs, leavingMs })
+    this.#updateRow({ view, heardMs: nowMs, leavingMs })
   }
 
   /** Moves silent upstreams on; called often. */
@@ -81,29 +81,29 @@
     const { clock, goneMs } = this.#opts
     for (const row of this.#rows.values()) {
       const silentMs = clock.monotonicMs() - row.heardMs
-      const state = this.#pickState(row, silentMs)
-      if (state !== row.view.state) this.#put({ ...row, view: { ...row.view, state } })
+      const state = this.#computeState(row, silentMs)
+      if (state !== row.view.state) this.#updateRow({ ...row, view: { ...row.view, state } })
       if (silentMs > goneMs * forgetFactor) this.#rows.delete(row.view.upstreamId)
     }
   }
 
-  #pickState({ view }: Row, silentMs: number): UpstreamState {
+  #computeState({ view }: Row, silentMs: number): UpstreamState {
     const { suspectMs, goneMs } = this.#opts
     if (silentMs >= goneMs) return 'gone'
     if (view.state !== 'ready' && view.state !== 'quarantined') return view.state
-    return silentMs >= suspectMs ? 'suspect' : this.#readyOrQuarantined(view.upstreamId)
+    return silentMs >= suspectMs ? 'suspect' : this.#pickReadyOrQuarantined(view.upstreamId)
   }
 
-  #readyOrQuarantined(upstreamId: string): UpstreamState {
+  #pickReadyOrQuarantined(upstreamId: string): UpstreamState {
     const quarantine = this.#opts.readHealth(upstreamId)?.quarantine
     return quarantine === undefined ? 'ready' : 'quarantined'
   }
 
-  #put(row: Omit<Row, 'version'>): void {
+  #updateRow(row: Omit<Row, 'version'>): void {
     const { version, logger } = this.#opts
     const { upstreamId, address, state } = row.view
     const former = this.#rows.get(upstreamId)
-    if (former !== undefined && isSame(former.view, row.view)) {
+    if (former !== undefined && isSameView(former.view, row.view)) {
       this.#rows.set(upstreamId, { ...row, version: former.version })
       return
     }
@@ -141,6 +141,6 @@
   }
 }
 
-function isSame(left: UpstreamView, right: UpstreamView): boolean {
+function isSameView(left: UpstreamView, right: UpstreamView): boolean {
   return JSON.stringify(left) === JSON.stringify(right)
 }
--- a/control/service/src/watchCluster.ts
+++ b/control/service/src/watchCluster.ts
@@ -7,21 +7,21 @@
 import type { ControlNodeOptions } from './nodeOptions.js'
 
 /** Polls wait for at most this part of a contract lease, so that an answer always renews it in time. */
-const longestWaitShare = 0.5
+const maxWaitLeaseShare = 0.5
 
 export async function watchCluster(
   opts: ControlNodeOptions,
   session: LeaderSession,
   request: WatchRequest,
 ): Promise<ClusterUpdate> {
-  session.entries.hear(request)
-  await waitForNews(opts, session, request)
+  session.entries.recordWatch(request)
+  await waitForUpdate(opts, session, request)
   // The lease counts from the request, so the contracts must be no older than it.
   await unwrap(opts.log.readBarrier())
   return createUpdate(opts, session, request)
 }
 
-async function waitForNews(
+async function waitForUpdate(
   { clock, holder, timings }: ControlNodeOptions,
   session: LeaderSession,
   { epoch, contractIndex, upstreamVersion, waitMs, leaving }: WatchRequest,
@@ -31,7 +31,7 @@
     holder.applied.pipe(filter(() => holder.state.contractIndex !== contractIndex)),
     session.version.pipe(filter((version) => version !== upstreamVersion)),
   )
-  const longestMs = timings.contractLeaseMs * longestWaitShare
+  const longestMs = timings.contractLeaseMs * maxWaitLeaseShare
   await waitForWake(clock, Math.min(waitMs, longestMs), news, session.ended)
 }
 
--- a/control/service/test/controlNode.test.ts
+++ b/control/service/test/controlNode.test.ts
@@ -3,7 +3,14 @@
 import { createJobRequest } from '@nettlespur/control.fakes'
 import { unwrap } from '@nettlespur/core.errors'
 import test from 'ava'
-import { announcement, change, runUntil, startNode, submit, timings } from './startNode.js'
+import {
+  announcement,
+  createContractChange,
+  runUntil,
+  startNode,
+  submit,
+  timings,
+} from './startNode.js'
 
 const watchRequest: WatchRequest = {
   entry: { entryId: 'e1', address: '127.0.0.1:1', peerAddress: '127.0.0.1:2', dataCentre: 'dc1' },
@@ -16,7 +23,7 @@
 
 test('a job is placed, started and answered whole, and every placement leaves a log line', async (t) => {
   const node = await startNode(t)
-  await unwrap(node.node.applyContract(change('one', 0)))
+  await unwrap(node.node.applyContract(createContractChange('one', 0)))
   await unwrap(node.node.announce({ items: [{ upstreamId: 'u1', announcement }] }))
   const jobId = await submit(node, { gang: { accelerators: 4, adjacency: 'upstream' } })
   const taskId = `${jobId}.1.0`
@@ -37,9 +44,9 @@
   const first = await unwrap(node.watch(watchRequest))
   const { epoch, contractIndex, upstreamVersion } = first
   const held = { ...watchRequest, epoch, contractIndex, upstreamVersion }
-  const look = unwrap(node.watch(held))
-  const { changeIndex } = await unwrap(node.applyContract(change('one', 0)))
-  const update = await look
+  const pendingWatch = unwrap(node.watch(held))
+  const { changeIndex } = await unwrap(node.applyContract(createContractChange('one', 0)))
+  const update = await pendingWatch
   t.is(clock.monotonicMs(), 0)
   t.is(update.contractIndex, changeIndex)
   t.like((await unwrap(node.listContracts('demo')))[0], { inForceAt: [], notYetInForceAt: ['e1'] })
@@ -52,7 +59,7 @@
 test('an entry that is not heard from is dropped only after its lease must have ended', async (t) => {
   const { node, clock } = await startNode(t)
   await unwrap(node.watch(watchRequest))
-  await unwrap(node.applyContract(change('one', 0)))
+  await unwrap(node.applyContract(createContractChange('one', 0)))
   await clock.advance(timings.contractLeaseMs)
   t.deepEqual((await unwrap(node.listContracts()))[0]?.notYetInForceAt, ['e1'])
   await clock.advance(timings.clockDriftMarginMs)
@@ -61,7 +68,7 @@
 
 test('a new leader claims nothing in force while entries may hold leases of a former one', async (t) => {
   const former = await startNode(t)
-  await unwrap(former.node.applyContract(change('one', 0)))
+  await unwrap(former.node.applyContract(createContractChange('one', 0)))
   await former.stop()
   const { node, clock } = await startNode(t, former.dataFolder)
   t.deepEqual((await unwrap(node.listContracts()))[0]?.notYetInForceAt, ['entries-not-heard-yet'])
@@ -71,7 +78,7 @@
 
 test('a leaving upstream is told at once, outweighs a late ready, and gets no job', async (t) => {
   const node = await startNode(t)
-  await unwrap(node.node.applyContract(change('one', 0)))
+  await unwrap(node.node.applyContract(createContractChange('one', 0)))
   const announce = (state: Announcement['state']) =>
     unwrap(
       node.node.announce({
@@ -80,10 +87,10 @@
     )
   await announce('ready')
   const { epoch, contractIndex, upstreamVersion } = await unwrap(node.node.watch(watchRequest))
-  const look = node.node.watch({ ...watchRequest, epoch, contractIndex, upstreamVersion })
-  const told = unwrap(look)
+  const pendingWatch = node.node.watch({ ...watchRequest, epoch, contractIndex, upstreamVersion })
+  const pendingUpdate = unwrap(pendingWatch)
   await announce('leaving')
-  t.like((await told).upstreams[0], { upstreamId: 'u1', state: 'leaving' })
+  t.like((await pendingUpdate).upstreams[0], { upstreamId: 'u1', state: 'leaving' })
   await announce('ready')
   const jobId = await submit(node, {})
   await runUntil(node, () => node.lines.some((line) => line.includes('event=placement.waits')))
@@ -105,7 +112,7 @@
 
 test('a shape that the known upstreams can never hold is refused at once', async (t) => {
   const { node, clock } = await startNode(t)
-  await unwrap(node.applyContract(change('one', 0)))
+  await unwrap(node.applyContract(createContractChange('one', 0)))
   await unwrap(node.announce({ items: [{ upstreamId: 'u1', announcement }] }))
   await clock.advance(timings.upstreamSuspectMs)
   const request = createJobRequest({ gang: { accelerators: 9, adjacency: 'upstream' } })
@@ -115,7 +122,7 @@
 
 test('a call that waits for an answer gets the job as it stands when its wait is over', async (t) => {
   const node = await startNode(t)
-  await unwrap(node.node.applyContract(change('one', 0)))
+  await unwrap(node.node.applyContract(createContractChange('one', 0)))
   const jobId = await submit(node, {})
   const waiting = unwrap(node.node.awaitAnswer({ workspace: 'demo', jobId, waitMs: 300 }))
   await node.clock.advance(300)
@@ -125,7 +132,7 @@
 
 test('once it leads no more every call is refused, with the leader as the hint, and renewals end', async (t) => {
   const node = await startNode(t)
-  await unwrap(node.node.applyContract(change('one', 0)))
+  await unwrap(node.node.applyContract(createContractChange('one', 0)))
   await unwrap(node.node.announce({ items: [{ upstreamId: 'u1', announcement }] }))
   const jobId = await submit(node, {})
   await runUntil(node, () => node.client.stateOf(`${jobId}.1.0`) === 'running')
--- a/control/service/test/placementLoop.test.ts
+++ b/control/service/test/placementLoop.test.ts
@@ -6,7 +6,14 @@
   type PlacementView,
 } from '@nettlespur/placement.engine'
 import test, { type ExecutionContext } from 'ava'
-import { announcement, change, runUntil, startNode, submit, type TestNode } from './startNode.js'
+import {
+  announcement,
+  createContractChange,
+  runUntil,
+  startNode,
+  submit,
+  type TestNode,
+} from './startNode.js'
 
 const gang = { accelerators: 8, adjacency: 'upstream' as const }
 
@@ -23,7 +30,7 @@
 async function startScripted(t: ExecutionContext) {
   const policy = new ScriptedPolicy()
   const node = await startNode(t, undefined, policy)
-  await unwrap(node.node.applyContract(change('one', 0)))
+  await unwrap(node.node.applyContract(createContractChange('one', 0)))
   await announce(node, 'u1', 'ready')
   return { node, policy }
 }
--- a/control/service/test/startNode.ts
+++ b/control/service/test/startNode.ts
@@ -49,7 +49,7 @@
     holder,
     timings: { heartbeatMs: 250, electionTimeoutMs: 1500, replaceVoterAfterMs: 60_000 },
   })
-  const countOpen = countCommits(log)
+  const countPending = trackPendingCommits(log)
   const node = new ControlNode({
     instanceId: 'c1',
     clock,
@@ -67,7 +67,7 @@
     await log.stop()
   }
   t.teardown(stop)
-  const isCommitting = () => countOpen() > 0
+  const isCommitting = () => countPending() > 0
   return { clock, holder, log, client, node, lines, dataFolder, stop, isCommitting }
 }
 
@@ -80,25 +80,25 @@
 export async function runUntil(node: TestNode, isReached: () => boolean): Promise<void> {
   for (let rounds = 0; !isReached(); rounds++) {
     if (rounds > roundsMax) throw new Error('never reached')
-    const moved = new Promise<void>((resolve) => setImmediate(resolve))
+    const nextTurn = new Promise<void>((resolve) => setImmediate(resolve))
     if (node.isCommitting()) rounds -= 1
     else await node.clock.advance(5)
-    await moved
+    await nextTurn
   }
 }
 
 /** Counts the commands of `log` that are not committed yet. */
-function countCommits(log: RaftLog): () => number {
-  let commits = 0
+function trackPendingCommits(log: RaftLog): () => number {
+  let pending = 0
   const propose = log.propose.bind(log)
   log.propose = (command) =>
     EitherAsync.fromPromise(async () => {
-      commits += 1
+      pending += 1
       const outcome = await propose(command).run()
-      commits -= 1
+      pending -= 1
       return outcome
     })
-  return () => commits
+  return () => pending
 }
 
 export async function submit({ node }: TestNode, fields: Partial<JobRequest>): Promise<string> {
@@ -106,6 +106,6 @@
   return jobId
 }
 
-export function change(changeId: string, expectedRevision: number) {
+export function createContractChange(changeId: string, expectedRevision: number) {
   return { changeId, expectedRevision, contract: createContract('demo') }
 }
