--- a/control/service/src/claimCalls.ts
+++ b/control/service/src/claimCalls.ts
@@ -1,4 +1,4 @@
-/** What entries ask about claims, answered by the leader. */
+/** Handles the calls of entries about claims; runs on the leader. */
 import type { Claim, ClaimChange, ClaimQuery } from '@nettlespur/api.schemas'
 import { waitForWake } from '@nettlespur/control.gangs'
 import { isResolved, readClaim } from '@nettlespur/control.state'
@@ -19,7 +19,7 @@
     this.#session = session
   }
 
-  /** Proposed together, so that the log commits them with one sync. */
+  /** Proposes all changes concurrently, so that the log can commit them with one sync. */
   change(changes: readonly ClaimChange[]): Promise<RpcResult<Claim>[]> {
     const { log, clock, timings } = this.#opts
     const at = clock.now().toISOString()
@@ -33,6 +33,7 @@
     return Promise.all(changes.map(commit))
   }
 
+  /** Waits up to `waitMs` for the claim to be resolved. Returns null if there is no such claim. */
   async awaitClaim({ waitMs, ...key }: ClaimQuery): Promise<Claim | null> {
     const { clock, holder, log } = this.#opts
     await unwrap(log.readBarrier())
--- a/control/service/src/claimResolver.ts
+++ b/control/service/src/claimResolver.ts
@@ -1,7 +1,8 @@
 /**
- * Learns what became of claimed requests whose entry cannot tell: it died, gave up, or is past the
- * request's deadline. The upstream is asked; a task it has never seen is stopped under a higher fence, so
- * that "not run" is only recorded where the upstream has confirmed it for good.
+ * Determines the outcome of claimed requests whose entry cannot report it, because the entry died, gave
+ * up, or is past the request's deadline. The resolver asks the upstream. A task that the upstream has not
+ * seen or has only reserved is stopped under a higher fence, so that `not-run` is recorded only once the
+ * upstream has confirmed that the task can never run.
  */
 import {
   claimAnswerBytesMax,
@@ -55,7 +56,8 @@
     while (!signal.aborted) {
       const seen = holder.state.appliedIndex
       await this.resolveDue(signal)
-      // What falls due by time waits for the tick, so that a commit costs no look at every claim's time.
+      // Claims that become due by time are found on the next tick, so that a commit does not have to check
+      // the time of every claim.
       const released = holder.applied.pipe(
         filter((index) => index > seen && this.#listReleased().length > 0),
       )
@@ -63,7 +65,7 @@
     }
   }
 
-  /** One round over the claims that are due now. */
+  /** Runs one round over the claims that are due now. */
   async resolveDue(signal: AbortSignal): Promise<void> {
     const due = this.#listDue().slice(0, claimsPerRoundMax)
     await Promise.all(due.map((claim) => this.#resolve(claim, signal)))
@@ -71,7 +73,7 @@
     this.#pauses = new Map([...this.#pauses].filter(([name]) => live.has(name)))
   }
 
-  /** Those whose entry has given up, or that were taken from it, and that do not pause. */
+  /** Lists claims that their entry has given up, or that were taken over from it, except paused ones. */
   #listReleased(): Claim[] {
     return this.#opts.holder.state
       .listUnresolvedClaims()
@@ -106,7 +108,7 @@
     })
   }
 
-  /** Undefined while the task runs. */
+  /** Returns undefined while the task runs, if the claim has a new target, or if `signal` is aborted. */
   async #determineOutcome(claim: Claim, signal: AbortSignal): Promise<ClaimOutcome | undefined> {
     const { address, taskId, attempt } = claim.target
     const status = await unwrap(this.#opts.client.getTask(address, taskId))
@@ -116,7 +118,7 @@
     }
     const taken = await this.#takeOver(claim)
     if (isResolved(taken)) return taken.outcome
-    // Moved or opened anew in between: what the former target says is no outcome any more.
+    // The claim was moved or reopened in the meantime, so the former target no longer determines its outcome.
     if (taken.target.taskId !== taskId || taken.target.attempt !== attempt) return undefined
     const stop = { address, taskId, fence: taken.fence }
     return this.#commitOutcome(
@@ -161,8 +163,8 @@
         return { kind: 'failed', reason: status.failure ?? `its task is ${status.state}` }
       case 'never-runs':
         if (status.session === session)
-          return { kind: 'not-run', reason: 'its upstream confirms it' }
-        // A restarted upstream has forgotten what it ran: it can confirm nothing about the time before.
+          return { kind: 'not-run', reason: 'its upstream confirmed that the task never runs' }
+        // A restarted upstream has lost its record of earlier tasks and cannot confirm that one never ran.
         throw new NettlespurError('outcome-unknown', 'its upstream has restarted since')
       case 'running':
       case 'reserved':
@@ -171,7 +173,7 @@
     }
   }
 
-  /** An answer too large to keep stays with its upstream, and out of this process's memory. */
+  /** Does not fetch an answer that is too large to keep: it stays on its upstream and out of memory here. */
   async #collectAnswer(task: TaskReference, bodyBytes: number): Promise<ClaimOutcome> {
     if (bodyBytes > claimAnswerBytesMax) return { kind: 'answered', status: statusOk, bodyBytes }
     const collected = await this.#opts.client.getTypedAnswer(task).run()
@@ -213,7 +215,7 @@
   }
 }
 
-/** One target of one claim. */
+/** Identifies one target of one claim, so that a claim that moves to a new target starts without a pause. */
 function createTargetKey({ workspace, target }: Claim): string {
   return `${workspace} ${target.taskId} ${target.attempt}`
 }
--- a/control/service/src/contractCalls.ts
+++ b/control/service/src/contractCalls.ts
@@ -1,6 +1,7 @@
 /**
- * What operators change. A contract is accepted only where its guaranteed shapes can be kept beside all
- * others; changes are looked at one after the other, so that two of them never count on the same room.
+ * Handles the contract changes of operators. A contract is accepted only if its guaranteed shapes fit
+ * beside those of all other contracts. Changes are checked and committed one at a time, so that two of them
+ * never rely on the same capacity.
  */
 import type { ContractChange, ContractRecord } from '@nettlespur/api.schemas'
 import { readContract } from '@nettlespur/control.state'
@@ -41,7 +42,7 @@
     return record
   }
 
-  /** A resent or stale change gets its answer from the log, whatever fits now. */
+  /** Skips resent and stale changes: the log answers those, whether or not they would fit now. */
   #checkFeasible(session: LeaderSession, change: ContractChange): void {
     const { state } = this.#opts.holder
     const { contract, changeId, expectedRevision } = change
@@ -49,7 +50,8 @@
     if (state.knowsChange(changeId) || revision !== expectedRevision) return
     const upstreams = session.upstreams.list()
     const wasInUse = state.listContracts().length > 0
-    // A cluster that has never had an upstream cannot be judged; the plan tells what is missing.
+    // A cluster with neither upstreams nor contracts yet cannot be checked; the placement plan reports what
+    // is missing.
     if (upstreams.length === 0 && !wasInUse) return
     const withSuspectsReady = upstreams.map((view) => {
       return view.state === 'suspect' ? { ...view, state: 'ready' as const } : view
--- a/control/service/src/controlNode.ts
+++ b/control/service/src/controlNode.ts
@@ -1,6 +1,6 @@
 /**
- * One control instance. It answers while it leads; otherwise every call is refused with the leader's
- * address as the hint. What it knows only as leader lives in a LeaderSession.
+ * One control instance. It answers calls while it leads; otherwise it refuses every call and hints at the
+ * leader's address if it is known. State that only a leader has is kept in a LeaderSession.
  */
 import type {
   Claim,
@@ -47,7 +47,7 @@
   readonly #leadershipSubscription: Subscription
   #session: LeaderSession | undefined
   #leadership: Leadership | undefined
-  /** The end of the former leadership: the next one starts after it. */
+  /** Resolves when the previous session has stopped; the next session starts only then. */
   #lastSessionEnd: Promise<void> = Promise.resolve()
 
   constructor(opts: ControlNodeOptions) {
@@ -63,17 +63,16 @@
     })
   }
 
-  /** Whether this instance leads now. */
   get isLeader(): boolean {
     return this.#session !== undefined
   }
 
-  /** Whether this instance leads, or can tell who does. */
+  /** Whether this instance leads or knows which instance does. */
   get knowsLeader(): boolean {
     return this.isLeader || this.#leadership?.leaderId !== undefined
   }
 
-  /** Ends the leadership here; calls that wait are answered. The log is left to its owner. */
+  /** Ends the leader session, which answers waiting calls. Does not stop the log: its owner does. */
   async stop(): Promise<void> {
     this.#leadershipSubscription.unsubscribe()
     this.#endSession()
@@ -189,6 +188,7 @@
     })
   }
 
+  /** Counts the call and runs it in the current session. Fails with `not-leader` if there is none. */
   #runAsLeader<T>(
     call: keyof ControlApi,
     run: (session: LeaderSession) => Promise<T>,
--- a/control/service/src/createExplanation.ts
+++ b/control/service/src/createExplanation.ts
@@ -1,15 +1,15 @@
-/** Says in plain words what a job waits for, from the state and the last placement round. */
+/** Explains to the caller what a job waits for, from the state and the last placement round. */
 import type { JobExplanation, Shape, UpstreamView } from '@nettlespur/api.schemas'
 import type { ControlState, JobRecord } from '@nettlespur/control.state'
 
-/** Places and jobs named one by one. */
+/** Upstreams, or jobs, that are listed individually. */
 const namedMax = 3
 
 export interface ExplainOptions {
   state: ControlState
   upstreams: readonly UpstreamView[]
   job: JobRecord
-  /** What the last round found; undefined where there was none since the job was queued. */
+  /** Why the last placement round left the job waiting; undefined if no round has considered it yet. */
   waitReason: string | undefined
 }
 
@@ -39,7 +39,7 @@
   return `waits until its members on ${upstreams} are known to have stopped: ${reason}`
 }
 
-/** Who holds the places that need the fewest accelerators freed. */
+/** Describes the jobs on those occupied upstreams that have the most free accelerators. */
 function describeHolders({ state, upstreams, job }: ExplainOptions): string[] {
   const ready = upstreams.filter((view) => view.state === 'ready')
   const holdersById = groupHolders(state)
@@ -75,7 +75,7 @@
   return holdersById
 }
 
-/** Other workspaces' jobs go without their names. */
+/** Does not disclose the ids of jobs of other workspaces. */
 function describeHolder({ job, count }: Holder, asking: JobRecord): string {
   const own = job.request.workspace === asking.request.workspace
   const who = own ? job.jobId : 'a job of another workspace'
@@ -85,7 +85,7 @@
 
 function describeStoppable({ request }: JobRecord): string {
   if (request.checkpointable) return ', may be stopped after a checkpoint'
-  return request.repeatable ? ', may be stopped' : ', is not stopped'
+  return request.repeatable ? ', may be stopped' : ', is never preempted'
 }
 
 function describeJobsAhead({ state, job }: ExplainOptions): string[] {
@@ -104,7 +104,8 @@
 function describeAvoidedUpstreams({ upstreams, job }: ExplainOptions): string[] {
   const quarantined = upstreams.filter((view) => view.state === 'quarantined')
   const ids = quarantined.map((view) => view.upstreamId)
-  const lines = ids.length === 0 ? [] : [`quarantined upstreams take no part: ${ids.join(', ')}`]
+  const lines =
+    ids.length === 0 ? [] : [`quarantined upstreams are not considered: ${ids.join(', ')}`]
   const failed = job.failedUpstreamIds
   return failed.length === 0 ? lines : [...lines, `it failed before on ${failed.join(', ')}`]
 }
--- a/control/service/src/createPlacementView.ts
+++ b/control/service/src/createPlacementView.ts
@@ -1,4 +1,4 @@
-/** The view a placement decision is taken from: upstreams as heard, everything else as committed. */
+/** Creates the input of a placement round: upstreams as last announced, everything else as committed. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { ControlState, JobRecord } from '@nettlespur/control.state'
 import type { DeclarationCorrection, PlacementView, WaitingJob } from '@nettlespur/placement.engine'
@@ -10,7 +10,7 @@
   now: Date
   /** Whether upstreams have had the time to announce themselves; false by default. */
   upstreamsKnown?: boolean
-  /** Declared run times are taken as they are without it. */
+  /** Corrects declared run times; they are used unchanged without it. */
   correction?: DeclarationCorrection
 }
 
@@ -27,7 +27,7 @@
   }
 }
 
-/** A placement is held until its end is committed, which waits for all its members to have stopped. */
+/** A job occupies its placement until its end is committed, after all of its members have stopped. */
 function toRunningGang(opts: PlacementViewOptions, job: JobRecord): RunningGang[] {
   const { placement, state } = job
   if (placement === undefined) return []
@@ -47,7 +47,7 @@
   const { retryAt } = job
   const submittedAtMs = Date.parse(job.submittedAt)
   const tooEarly = retryAt !== undefined && Date.parse(retryAt) > opts.now.getTime()
-  const heldBack = tooEarly ? `tried again from ${retryAt} on` : undefined
+  const heldBack = tooEarly ? `not retried before ${retryAt}` : undefined
   const queuedAtMs = findLastEventMs(job, 'job.requeued') ?? submittedAtMs
   return { ...describeJob(opts, job), submittedAtMs, queuedAtMs, heldBack }
 }
@@ -66,7 +66,7 @@
   }
 }
 
-/** When this last happened to the job. */
+/** Returns undefined if the job has no such event. */
 function findLastEventMs({ decisions }: JobRecord, event: string): number | undefined {
   const found = decisions.findLast((decision) => decision.event === event)
   return found === undefined ? undefined : Date.parse(found.at)
--- a/control/service/src/createReport.ts
+++ b/control/service/src/createReport.ts
@@ -1,4 +1,4 @@
-/** Completion times of the jobs that are kept, and the fragmentation of what is free now. */
+/** Reports completion times of the finished jobs still kept, and the fragmentation of free accelerators. */
 import type { Shape, UpstreamView } from '@nettlespur/api.schemas'
 import type { ClusterReport } from '@nettlespur/control.api'
 import type { ControlState, JobRecord } from '@nettlespur/control.state'
@@ -37,7 +37,7 @@
   }
 }
 
-/** From submission to end, in milliseconds. */
+/** Measures the time from submission to end. */
 function measureCompletion(jobs: readonly JobRecord[]): Quantiles {
   const histogram = hdr.build({
     highestTrackableValue: highestTrackableMs,
@@ -71,7 +71,7 @@
     .reduce((sum, block) => sum + block.acceleratorIndexes.length, 0)
 }
 
-/** The guaranteed and the waiting shapes, each once. */
+/** Lists the distinct shapes of guarantees and of queued jobs. */
 function listShapes(state: ControlState): Shape[] {
   const guaranteed = state.listContracts().flatMap(({ contract }) => contract.guarantees)
   const queued = state.listLiveJobs().filter((job) => job.state === 'queued')
--- a/control/service/src/createStatus.ts
+++ b/control/service/src/createStatus.ts
@@ -1,4 +1,4 @@
-/** The state of the cluster for operators. */
+/** Creates the cluster status that operators see. */
 import type { ClusterStatus } from '@nettlespur/control.api'
 import type { LeaderSession } from './leaderSession.js'
 import type { ControlNodeOptions } from './nodeOptions.js'
--- a/control/service/src/decideProbes.ts
+++ b/control/service/src/decideProbes.ts
@@ -1,14 +1,14 @@
-/** Places single stoppable jobs on quarantined upstreams that are due to be tried. */
+/** Probes quarantined upstreams by placing repeatable jobs on them once their probe time has come. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { JobRecord } from '@nettlespur/control.state'
 import type { PlaceDecision, WaitingJob } from '@nettlespur/placement.engine'
 import { ClusterMap, fitGang, FreeChooser } from '@nettlespur/placement.topology'
 import type { DecideRoundOptions } from './decideRound.js'
 
-/** Jobs looked at for each upstream. */
+/** Waiting jobs that are considered for each upstream. */
 const candidatesMax = 50
 
-/** One for each upstream at most, so that a round shows no more trust than the one before has earned. */
+/** Decides on at most one probe per upstream and round, so that probes increase only as earlier ones succeed. */
 export function decideProbes(opts: DecideRoundOptions): PlaceDecision[] {
   const probes: PlaceDecision[] = []
   const due = opts.view.upstreams.filter((upstream) => isProbeDue(opts, upstream))
--- a/control/service/src/decideRound.ts
+++ b/control/service/src/decideRound.ts
@@ -1,6 +1,7 @@
 /**
- * One round of placement. Besides what the policy decides for all, a job whose task failed on an upstream
- * is placed apart from it where others can hold it, and a quarantined upstream is probed with stoppable jobs.
+ * Decides one placement round. In addition to the decisions of the policy, it keeps a job off upstreams
+ * where its tasks have failed, as long as other upstreams can hold it, and probes quarantined upstreams with
+ * repeatable jobs.
  */
 import type { ControlState } from '@nettlespur/control.state'
 import {
@@ -30,7 +31,7 @@
   return [...probes, ...opts.policy.decide({ ...view, waiting })]
 }
 
-/** A job avoids where it failed, as long as the rest could hold it. */
+/** Makes a job avoid upstreams where it has failed, provided that the others could ever hold it. */
 function addAvoidedUpstreams(
   { state, policy, view }: DecideRoundOptions,
   job: WaitingJob,
@@ -42,7 +43,7 @@
   return policy.canEverFit(job, rest) ? { ...job, avoidedUpstreamIds } : job
 }
 
-/** The view in which these jobs are placed already. */
+/** Returns the view as if the probes were already placed. */
 function assumePlaced(view: PlacementView, probes: readonly PlaceDecision[]): PlacementView {
   const blocks = new Map(probes.map((probe) => [probe.jobId, probe.blocks]))
   const placed = view.waiting.flatMap((job) => {
--- a/control/service/src/entryTable.ts
+++ b/control/service/src/entryTable.ts
@@ -1,21 +1,21 @@
 /**
- * The entries that watch this leader, and the contracts each of them holds. An entry that is silent for
- * longer than its contract lease refuses work by itself, and so is dropped here.
+ * The entries that watch this leader, and the contract index that each of them enforces. An entry that
+ * cannot renew its contract lease refuses work on its own, so it is dropped here once the lease has expired.
  */
 import type { EntryIdentity, WatchRequest } from '@nettlespur/control.api'
 import type { Clock } from '@nettlespur/core.clock'
 import type { BehaviorSubject } from 'rxjs'
 
-/** Stands for entries that watched a former leader and may enforce old contracts for a little longer. */
+/** Placeholder id for entries that watched a former leader and may enforce old contracts until their leases end. */
 export const entriesNotHeardYet = 'entries-not-heard-yet'
 
 export interface EntryTableOptions {
   clock: Clock
-  /** From an entry's last request to the certain end of its lease. */
+  /** Time after an entry's last request by which its lease has certainly expired. */
   dropAfterMs: number
   /** Whether entries may hold a lease from a former leader. */
   mayHaveFormerEntries: boolean
-  /** Raised with each change that entries must learn of. */
+  /** Incremented with each change that entries must learn of. */
   version: BehaviorSubject<number>
 }
 
@@ -35,6 +35,7 @@
     this.#startMs = opts.clock.monotonicMs()
   }
 
+  /** Records a watch request as a sign of life, or removes an entry that is leaving. */
   recordWatch({ entry, contractIndex, leaving }: WatchRequest): void {
     const former = this.#rows.get(entry.entryId)
     if (leaving) {
@@ -46,7 +47,7 @@
     if (JSON.stringify(former?.entry) !== JSON.stringify(entry)) this.#incrementVersion()
   }
 
-  /** Drops entries whose lease has ended; called often. */
+  /** Drops entries whose lease has expired; called periodically. */
   refresh(): void {
     const nowMs = this.#opts.clock.monotonicMs()
     for (const [entryId, row] of this.#rows) {
@@ -60,7 +61,7 @@
     return [...this.#rows.values()].map((row) => row.entry)
   }
 
-  /** False where it is certain that this entry holds no lease any more. */
+  /** Returns false only if this entry certainly holds no lease any more. */
   mayLive(entryId: string): boolean {
     return this.#rows.has(entryId) || this.#mayHaveUnheardEntries()
   }
@@ -71,7 +72,7 @@
     })
   }
 
-  /** Entries that enforce the change at `changeIndex`, and those that may still enforce an older one. */
+  /** Splits entries into those that enforce the change at `changeIndex` and those that may not do so yet. */
   splitByChange(changeIndex: number): { inForceAt: string[]; notYetInForceAt: string[] } {
     this.refresh()
     const rows = [...this.#rows.values()]
--- a/control/service/src/impossibleJobs.ts
+++ b/control/service/src/impossibleJobs.ts
@@ -1,8 +1,8 @@
-/** Waiting jobs that placement tells can never run, and since when without a break. */
+/** Tracks for how long placement has continuously found that a waiting job can never run. */
 import type { Clock } from '@nettlespur/core.clock'
 import type { RoundDecision } from './decideRound.js'
 
-/** Upstreams that restart and operators who mend a contract have this long. */
+/** Leaves time for upstreams to restart and for operators to correct a contract. */
 const refuseAfterMs = 60_000
 
 export class ImpossibleJobs {
@@ -13,7 +13,7 @@
     this.#clock = clock
   }
 
-  /** The refusals of this round that have lasted long enough. */
+  /** Returns the refusals of this round that have persisted for `refuseAfterMs`. */
   listOverdue(decisions: readonly RoundDecision[]): RoundDecision[] {
     const nowMs = this.#clock.monotonicMs()
     const refused = decisions.filter((decision) => decision.kind === 'refuse')
--- a/control/service/src/jobCalls.ts
+++ b/control/service/src/jobCalls.ts
@@ -1,4 +1,4 @@
-/** What callers ask about jobs, answered by the leader. */
+/** Handles calls about jobs; runs on the leader. */
 import {
   finalJobStates,
   type JobExplanation,
@@ -64,7 +64,7 @@
     )
   }
 
-  /** Refuses at once what no known upstreams could hold, unless they are not known yet. */
+  /** Refuses a job that the upstreams can never hold, once they have had the time to announce themselves. */
   #checkFeasible(request: JobRequest): void {
     const { holder, policy } = this.#opts
     const { workspace, jobKey, gang } = request
@@ -98,7 +98,7 @@
     return unwrap(committed)
   }
 
-  /** A queued job's reason is what the last placement round found. */
+  /** Shows why the last placement round left a queued job waiting, if it did, as the job's reason. */
   #createView(job: JobRecord): JobView {
     const view = toJobView(job)
     const waitReason = this.#session.placements.getWaitReason(job.jobId)
--- a/control/service/src/leaderSession.ts
+++ b/control/service/src/leaderSession.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance does and knows for as long as it leads: the placed gangs, the placement loop, and the
- * tables of upstreams and entries. A new leadership starts a new one with empty tables.
+ * State and tasks of an instance for one term as leader: the placed gangs, the placement loop, the claim
+ * resolver, and the tables of upstreams and entries. Each term starts a new session with empty tables.
  */
 import { randomUUID } from 'node:crypto'
 import type { TaskReport } from '@nettlespur/api.schemas'
@@ -22,9 +22,9 @@
 
 export class LeaderSession {
   readonly term: number
-  /** Names this leadership, and the positions that belong to it. */
+  /** Identifies this session. Versions that entries hold are valid only within the epoch they came from. */
   readonly epoch: string
-  /** Raised with each change of the upstreams or entries. */
+  /** Incremented with each change of the upstreams or entries. */
   readonly version = new BehaviorSubject(1)
   readonly upstreams: UpstreamTable
   readonly entries: EntryTable
@@ -51,7 +51,7 @@
       version,
     })
     const dropAfterMs = timings.contractLeaseMs + timings.clockDriftMarginMs
-    // What a former leader committed may be in the log without being applied here yet.
+    // Checks the term too, as commits of a former leader may not be applied here yet.
     const mayHaveFormerEntries = term > firstTerm || holder.state.appliedIndex > 0
     this.entries = new EntryTable({ clock, dropAfterMs, mayHaveFormerEntries, version })
     const random = opts.random ?? Math.random
@@ -76,7 +76,7 @@
     this.#lifecycle = new LifecycleManager({ clock, drainDeadlineMs: stopDeadlineMs, onFault })
   }
 
-  /** Aborted when this leadership ends. */
+  /** Aborted when this session ends. */
   get ended(): AbortSignal {
     return this.#lifecycle.stopSignal
   }
@@ -91,7 +91,7 @@
     this.#lifecycle.ownTask('placement', (signal) => this.#runPlacement(signal))
     this.#lifecycle.ownTask('claims', (signal) => this.#resolveClaims(signal))
     this.#lifecycle.ownTask('refresh', (signal) => this.#refresh(signal))
-    // Registered last so that it runs first: who leads no more renews no lease.
+    // Registered last so that it stops first: an instance that no longer leads must not renew leases.
     this.#lifecycle.own('gangs', () => this.#gangs.stop())
   }
 
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Nothing is decided before the state holds all that former leaders committed. */
+  /** Decides nothing before the state includes all commits of former leaders. */
   async #runPlacement(signal: AbortSignal): Promise<void> {
     await this.#waitForCommittedState(signal)
     if (!signal.aborted) await this.placements.run(signal)
--- a/control/service/src/listMoves.ts
+++ b/control/service/src/listMoves.ts
@@ -1,17 +1,17 @@
-/** Gangs that are to move because one of their upstreams is leaving. */
+/** Selects gangs to preempt because one of their upstreams is leaving. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { ControlState, JobRecord } from '@nettlespur/control.state'
 import type { PreemptDecision } from '@nettlespur/placement.engine'
 
-/** A gang whose preemption was given up is left alone for this long. */
+/** After a preemption was abandoned, the gang is not preempted again for this long. */
 const keptJobCooldownMs = 30_000
 
-/** Unlike a decision of placement, it may be for no job. */
+/** Unlike a PreemptDecision, it may free accelerators without a particular job that needs them. */
 export type Preemption = Omit<PreemptDecision, 'forJobId'> & {
   readonly forJobId?: string | undefined
 }
 
-/** A job that is neither repeatable nor checkpointable stays, as stopping it would lose it. */
+/** Leaves out jobs that are neither repeatable nor checkpointable, as stopping one would lose it. */
 export function listMoves(state: ControlState, upstreams: readonly UpstreamView[]): Preemption[] {
   const leaving = upstreams.filter((view) => view.state === 'leaving')
   if (leaving.length === 0) return []
--- a/control/service/src/nodeOptions.ts
+++ b/control/service/src/nodeOptions.ts
@@ -1,4 +1,4 @@
-/** What a control node is made of. */
+/** Dependencies and timings of a control node. */
 import type { GangTimings } from '@nettlespur/control.gangs'
 import type { ReplicatedLog } from '@nettlespur/control.log'
 import type { StateHolder } from '@nettlespur/control.state'
@@ -11,7 +11,7 @@
 export interface NodeTimings extends GangTimings {
   /** How long an entry may enforce its contracts without hearing from control. */
   readonly contractLeaseMs: number
-  /** How long a claim is kept once its outcome is known; the default of the settings where absent. */
+  /** How long a claim is kept once its outcome is known; `defaultClaimLifetimeMs` if absent. */
   readonly claimLifetimeMs?: number
   readonly upstreamSuspectMs: number
   readonly upstreamGoneMs: number
@@ -23,11 +23,11 @@
   logger: Logger
   metrics: MetricsRegistry
   log: ReplicatedLog
-  /** The state that `log` applies to. */
+  /** The replicated state to which `log` applies commands. */
   holder: StateHolder
   policy: PlacementPolicy
   client: UpstreamClient
   timings: NodeTimings
-  /** Between 0 and 1, for jitter; Math.random by default. */
+  /** Returns a number between 0 and 1, for jitter; Math.random by default. */
   random?: () => number
 }
--- a/control/service/src/placementLoop.ts
+++ b/control/service/src/placementLoop.ts
@@ -1,6 +1,6 @@
 /**
- * Takes over placed gangs that nothing runs, places waiting jobs whenever something has changed, and keeps
- * why the others wait.
+ * Takes over placed gangs that have no runner, places waiting jobs whenever the state or the upstreams have
+ * changed, and records why the remaining jobs wait.
  */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import { waitForWake, type GangManager } from '@nettlespur/control.gangs'
@@ -17,10 +17,10 @@
 import { RunTimeLearner } from './runTimeLearner.js'
 import type { UpstreamTable } from './upstreamTable.js'
 
-/** Changes within this time are decided on together. */
+/** Changes within this time are handled in the same round. */
 const batchingDelayMs = 10
 const tickMs = 1000
-/** Lines about jobs that wait in one round; one more line counts the rest. */
+/** Log lines about waiting jobs in one round; one further line counts the rest. */
 const waitLogLinesMax = 20
 
 export interface PlacementLoopOptions {
@@ -44,7 +44,7 @@
     this.#impossible = new ImpossibleJobs(opts.node.clock)
   }
 
-  /** Why a job waits, as of the last round; undefined where it does not. */
+  /** Returns why a job waits as of the last round, or undefined if that round left no reason for it. */
   getWaitReason(jobId: string): string | undefined {
     return this.#waitReasons.get(jobId)
   }
@@ -65,7 +65,7 @@
     }
   }
 
-  /** One failed round must not end the loop. */
+  /** Logs the failure of a round, so that it does not end the loop. */
   async #runRound(signal: AbortSignal): Promise<void> {
     try {
       await this.#decideAndApply(signal)
@@ -104,7 +104,7 @@
     this.#updateWaitReasons(reasons)
   }
 
-  /** The runner of the gang is woken by the change of its job. */
+  /** Commits the preemption; the resulting change of the job wakes the gang's runner, which stops it. */
   async #preempt(decision: Preemption): Promise<void> {
     const { log, logger, clock, holder } = this.#opts.node
     const { jobId, forJobId, withCheckpoint, reason } = decision
@@ -125,7 +125,7 @@
     })
   }
 
-  /** A job that has long been told to be impossible is ended; until then it waits. */
+  /** Ends jobs that placement has refused for long enough; until then they wait. */
   async #refuseImpossible(decisions: readonly RoundDecision[]): Promise<void> {
     const { log, logger, clock } = this.#opts.node
     if (!this.#opts.knowsUpstreams()) return
@@ -162,7 +162,7 @@
     })
   }
 
-  /** A guaranteed shape that no accelerators can be kept for is an alarm, and so is the end of one. */
+  /** Logs an error when guaranteed shapes lack accelerators, and an info line when none lacks any more. */
   #logMissingShapes(missing: string): void {
     if (missing === this.#missingShapes) return
     this.#missingShapes = missing
@@ -182,7 +182,7 @@
     this.#waitReasons = reasons
   }
 
-  /** Until the next tick, or until a job that was tried may be tried again. */
+  /** Returns the time until the next tick, or until the `retryAt` of a queued job if that is sooner. */
   #computePauseMs(): number {
     const { holder, clock } = this.#opts.node
     const nowMs = clock.now().getTime()
--- a/control/service/src/runTimeLearner.ts
+++ b/control/service/src/runTimeLearner.ts
@@ -1,4 +1,4 @@
-/** Learns from finished jobs how far the run times that each workspace declares are off. */
+/** Learns from finished jobs by how much the declared run times of each workspace are off. */
 import type { ControlState } from '@nettlespur/control.state'
 import { DeclarationCorrection } from '@nettlespur/placement.engine'
 
@@ -9,7 +9,7 @@
   #seen = new Set<string>()
   #nextMs = 0
 
-  /** Looks at what has finished since; does nothing if it did so less than a minute ago. */
+  /** Observes jobs that have finished since the last pass; does nothing within a minute of that pass. */
   learn(state: ControlState, nowMs: number): void {
     if (nowMs < this.#nextMs) return
     this.#nextMs = nowMs + learnEveryMs
--- a/control/service/src/upstreamTable.ts
+++ b/control/service/src/upstreamTable.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams as their announcements show them: soft state of the leader, made anew by each. Without
- * announcements an upstream becomes suspect, then gone; one that says it is leaving is so at once.
+ * The upstreams as last announced: soft state that each leader rebuilds. An upstream that stops announcing
+ * becomes suspect, then gone; one that announces that it is leaving is marked so at once.
  */
 import type { Announcement, UpstreamState, UpstreamView } from '@nettlespur/api.schemas'
 import type { UpstreamHealth } from '@nettlespur/control.state'
@@ -8,7 +8,7 @@
 import type { Logger } from '@nettlespur/core.logger'
 import { Subject, type BehaviorSubject, type Observable } from 'rxjs'
 
-/** Times of `upstreamGoneMs` after which a gone upstream is forgotten. */
+/** A gone upstream is removed after this multiple of `goneMs`. */
 const forgetFactor = 60
 const silentStates: ReadonlySet<UpstreamState> = new Set(['suspect', 'gone'])
 
@@ -17,16 +17,16 @@
   logger: Logger
   suspectMs: number
   goneMs: number
-  /** What the replicated state holds against an upstream. */
+  /** Reads the failure marks and the quarantine of an upstream from the replicated state. */
   readHealth: (upstreamId: string) => UpstreamHealth | undefined
-  /** Raised with each change that entries must learn of. */
+  /** Incremented with each change that entries must learn of. */
   version: BehaviorSubject<number>
 }
 
 interface Row {
   readonly view: UpstreamView
   readonly heardMs: number
-  /** When it last said that it is leaving. */
+  /** Monotonic time of the last announcement that it is leaving. */
   readonly leavingMs: number | undefined
   readonly version: number
 }
@@ -40,14 +40,14 @@
     this.#opts = opts
   }
 
-  /** The id of each upstream whose view has changed. */
+  /** Emits the id of each upstream whose view has changed. */
   get changes(): Observable<string> {
     return this.#changes
   }
 
   /**
-   * Whether an upstream is not heard from although at least half of all are. Where fewer are heard, it may
-   * be this leader that is cut off.
+   * Whether an upstream is silent while at least half of all upstreams are not. If fewer are heard, this
+   * leader itself may be cut off.
    */
   isSilent(upstreamId: string): boolean {
     const row = this.#rows.get(upstreamId)
@@ -60,12 +60,15 @@
     return [...this.#rows.values()].map((row) => row.view)
   }
 
-  /** Those that changed after `version`. */
+  /** Lists upstreams that changed after `version`. */
   listSince(version: number): UpstreamView[] {
     return [...this.#rows.values()].filter((row) => row.version > version).map((row) => row.view)
   }
 
-  /** Announcements of one upstream may overtake each other: a fresh leaving outweighs a ready after it. */
+  /**
+   * Records an announcement. Announcements of one upstream may arrive out of order, so `leaving` prevails
+   * over a `ready` that arrives within `suspectMs` after it.
+   */
   recordAnnouncement(upstreamId: string, announcement: Announcement): void {
     const nowMs = this.#opts.clock.monotonicMs()
     const former = this.#rows.get(upstreamId)
@@ -76,7 +79,7 @@
     this.#updateRow({ view, heardMs: nowMs, leavingMs })
   }
 
-  /** Moves silent upstreams on; called often. */
+  /** Updates the states of upstreams by their silence and quarantine; called periodically. */
   refresh(): void {
     const { clock, goneMs } = this.#opts
     for (const row of this.#rows.values()) {
--- a/control/service/src/watchCluster.ts
+++ b/control/service/src/watchCluster.ts
@@ -1,4 +1,4 @@
-/** The long poll of an entry: answers as soon as it holds less than there is to know. */
+/** Serves the long poll of an entry: answers as soon as there is an update that the entry does not have. */
 import type { ClusterUpdate, WatchRequest } from '@nettlespur/control.api'
 import { waitForWake } from '@nettlespur/control.gangs'
 import { unwrap } from '@nettlespur/core.errors'
@@ -6,7 +6,7 @@
 import type { LeaderSession } from './leaderSession.js'
 import type { ControlNodeOptions } from './nodeOptions.js'
 
-/** Polls wait for at most this part of a contract lease, so that an answer always renews it in time. */
+/** Polls wait for at most this share of a contract lease, so that the answer renews the lease in time. */
 const maxWaitLeaseShare = 0.5
 
 export async function watchCluster(
@@ -16,7 +16,7 @@
 ): Promise<ClusterUpdate> {
   session.entries.recordWatch(request)
   await waitForUpdate(opts, session, request)
-  // The lease counts from the request, so the contracts must be no older than it.
+  // The lease counts from the request, so the contracts must not be older than the request.
   await unwrap(opts.log.readBarrier())
   return createUpdate(opts, session, request)
 }
--- a/control/service/test/controlNode.test.ts
+++ b/control/service/test/controlNode.test.ts
@@ -21,7 +21,7 @@
   leaving: false,
 }
 
-test('a job is placed, started and answered whole, and every placement leaves a log line', async (t) => {
+test('a job is placed, started and answered in full, and its placement is logged once', async (t) => {
   const node = await startNode(t)
   await unwrap(node.node.applyContract(createContractChange('one', 0)))
   await unwrap(node.node.announce({ items: [{ upstreamId: 'u1', announcement }] }))
@@ -39,7 +39,7 @@
   t.is(report.cluster.freeAccelerators, 8)
 })
 
-test('a watching entry learns of a change at once, and its next look tells where it is in force', async (t) => {
+test('a watching entry learns of a change at once, and its next watch confirms it', async (t) => {
   const { node, clock } = await startNode(t)
   const first = await unwrap(node.watch(watchRequest))
   const { epoch, contractIndex, upstreamVersion } = first
@@ -56,7 +56,7 @@
   t.deepEqual((await next).contracts, [])
 })
 
-test('an entry that is not heard from is dropped only after its lease must have ended', async (t) => {
+test('a silent entry is dropped only after its lease must have expired', async (t) => {
   const { node, clock } = await startNode(t)
   await unwrap(node.watch(watchRequest))
   await unwrap(node.applyContract(createContractChange('one', 0)))
@@ -66,7 +66,7 @@
   t.deepEqual((await unwrap(node.listContracts()))[0]?.notYetInForceAt, [])
 })
 
-test('a new leader claims nothing in force while entries may hold leases of a former one', async (t) => {
+test('a new leader reports a change as not yet in force while entries may hold leases of a former one', async (t) => {
   const former = await startNode(t)
   await unwrap(former.node.applyContract(createContractChange('one', 0)))
   await former.stop()
@@ -76,7 +76,7 @@
   t.deepEqual((await unwrap(node.listContracts()))[0]?.notYetInForceAt, [])
 })
 
-test('a leaving upstream is told at once, outweighs a late ready, and gets no job', async (t) => {
+test('entries learn of a leaving upstream at once; a late ready does not revert it, and it gets no job', async (t) => {
   const node = await startNode(t)
   await unwrap(node.node.applyContract(createContractChange('one', 0)))
   const announce = (state: Announcement['state']) =>
@@ -120,7 +120,7 @@
   t.like(refused, { kind: 'impossible-shape' })
 })
 
-test('a call that waits for an answer gets the job as it stands when its wait is over', async (t) => {
+test('a call that waits for an answer returns the current job when its wait time is over', async (t) => {
   const node = await startNode(t)
   await unwrap(node.node.applyContract(createContractChange('one', 0)))
   const jobId = await submit(node, {})
@@ -130,7 +130,7 @@
   t.is((await waiting).answer, undefined)
 })
 
-test('once it leads no more every call is refused, with the leader as the hint, and renewals end', async (t) => {
+test('an instance that no longer leads refuses calls with a hint at the leader and renews no leases', async (t) => {
   const node = await startNode(t)
   await unwrap(node.node.applyContract(createContractChange('one', 0)))
   await unwrap(node.node.announce({ items: [{ upstreamId: 'u1', announcement }] }))
--- a/control/service/test/placementLoop.test.ts
+++ b/control/service/test/placementLoop.test.ts
@@ -17,7 +17,7 @@
 
 const gang = { accelerators: 8, adjacency: 'upstream' as const }
 
-/** Decides as the policy for completion time does, and whatever a test adds. */
+/** Returns decisions that a test adds, followed by those of the `completionTime` policy. */
 class ScriptedPolicy extends PlacementPolicy {
   readonly #policy = createPolicy('completionTime')
   extra: (view: PlacementView) => PlacementDecision[] = () => []
@@ -42,7 +42,7 @@
   await unwrap(node.announce({ items }))
 }
 
-test('urgent work runs within a second of its submission where a victim may be stopped', async (t) => {
+test('urgent work runs within a second of its submission if a running job can be preempted', async (t) => {
   const { node } = await startScripted(t)
   const victim = await submit(node, { gang, repeatable: true })
   await runUntil(node, () => node.client.stateOf(`${victim}.1.0`) === 'running')
@@ -56,7 +56,7 @@
   t.is(lines.length, 1)
 })
 
-test('a gang that may be stopped moves off a leaving upstream, and another one stays', async (t) => {
+test('a repeatable gang moves off a leaving upstream, and one that is not repeatable stays', async (t) => {
   const { node } = await startScripted(t)
   const half = { accelerators: 4, adjacency: 'upstream' as const }
   const moves = await submit(node, { gang: half, repeatable: true })
@@ -70,7 +70,7 @@
   t.true(isRunning(`${stays}.1.0`))
 })
 
-test('a job told impossible is ended after a minute, with its reason and as not run', async (t) => {
+test('a job that placement refuses for a minute ends with the reason and without a start', async (t) => {
   const { node, policy } = await startScripted(t)
   const jobId = await submit(node, { gang: { accelerators: 64, adjacency: 'upstream' } })
   policy.extra = ({ waiting }) =>
@@ -91,7 +91,7 @@
   t.is(ended?.startedAt, undefined)
 })
 
-test('explain tells what is asked, who holds it, and who waits before', async (t) => {
+test('an explanation names the requested shape, the holders of the accelerators and the jobs ahead', async (t) => {
   const { node } = await startScripted(t)
   const holder = await submit(node, { gang, repeatable: true })
   await runUntil(node, () => node.client.stateOf(`${holder}.1.0`) === 'running')
@@ -105,7 +105,7 @@
   t.regex(text, new RegExp(`1 jobs were submitted before it and wait too.*${ahead}`))
 })
 
-test('a round in which many jobs wait leaves a bounded number of lines', async (t) => {
+test('a round in which many jobs wait writes a bounded number of log lines', async (t) => {
   const { node } = await startScripted(t)
   await submit(node, { gang })
   await Promise.all([...Array(60).keys()].map(() => submit(node, { gang })))
--- a/control/service/test/startNode.ts
+++ b/control/service/test/startNode.ts
@@ -1,4 +1,4 @@
-/** A control instance over fake upstreams, on a clock that a test moves. */
+/** Starts a control instance with fake upstreams and a clock that the test advances. */
 import { mkdtemp } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import path from 'node:path'
@@ -74,7 +74,7 @@
 export type TestNode = Awaited<ReturnType<typeof startNode>>
 
 /**
- * Moves time on, a little at a time, until the state is as wanted. Time stands still while a command is
+ * Advances the clock in small steps until the condition holds. The clock does not advance while a command is
  * being committed, as the disk takes real time.
  */
 export async function runUntil(node: TestNode, isReached: () => boolean): Promise<void> {
@@ -87,7 +87,7 @@
   }
 }
 
-/** Counts the commands of `log` that are not committed yet. */
+/** Returns a function that counts the proposed commands of `log` that are not committed yet. */
 function trackPendingCommits(log: RaftLog): () => number {
   let pending = 0
   const propose = log.propose.bind(log)
