--- a/control/gangs/src/chooseCommand.ts
+++ b/control/gangs/src/chooseCommand.ts
@@ -1,6 +1,6 @@
 /** What is committed about a job once an attempt is over and all its members are known to be stopped. */
 import type { Command, JobRecord } from '@nettlespur/control.state'
-import type { GangBroken, GangOutcome, GangPreempted } from './gangOutcome.js'
+import type { GangAborted, GangOutcome, GangPreempted } from './gangOutcome.js'
 
 /** A job whose tasks failed by themselves on this many upstreams is at fault itself. */
 export const failedUpstreamsMax = 3
@@ -30,16 +30,16 @@
   const mayHaveRun = job.startCommitted && startSent
   if (job.cancelRequested) {
     const when = mayHaveRun ? 'after' : 'before'
-    const told = `cancelled ${when} its start: ${reason}`
-    return { type: 'job.ended', ...head, outcome: 'cancelled', reason: told }
+    const cancelReason = `cancelled ${when} its start: ${reason}`
+    return { type: 'job.ended', ...head, outcome: 'cancelled', reason: cancelReason }
   }
   if (outcome.kind === 'preempted') return requeuePreempted(opts, outcome)
   const { failure } = outcome
-  const end = mayHaveRun ? pickEnd(opts, outcome) : undefined
+  const end = mayHaveRun ? pickFinalState(opts, outcome) : undefined
   if (end !== undefined) {
     return { type: 'job.ended', ...head, outcome: end.state, reason: end.reason, failure }
   }
-  const retryAt = new Date(now.getTime() + pickDelayMs(opts)).toISOString()
+  const retryAt = new Date(now.getTime() + computeRetryDelayMs(opts)).toISOString()
   const countsAsFailure = mayHaveRun
   return { type: 'job.requeue', ...head, reason, retryAt, startSent, countsAsFailure, failure }
 }
@@ -59,16 +59,16 @@
   return { type: 'job.requeue', ...head, reason, startSent, countsAsFailure: false, checkpointId }
 }
 
-interface End {
+interface FinalState {
   readonly state: 'failed' | 'unknown'
   readonly reason: string
 }
 
 /** The final state of a started job; undefined where it is tried again. */
-function pickEnd(
+function pickFinalState(
   { job, retriesPerSecond }: ChooseCommandOptions,
-  outcome: GangBroken,
-): End | undefined {
+  outcome: GangAborted,
+): FinalState | undefined {
   const { kind, reason, failure } = outcome
   if (!job.request.repeatable) return { state: kind === 'failed' ? 'failed' : 'unknown', reason }
   const upstreams = new Set([...job.failedUpstreamIds, failure?.upstreamId])
@@ -85,7 +85,7 @@
 }
 
 /** Full jitter over a bound that doubles with each attempt, after what the budgets ask for. */
-function pickDelayMs({ job, random, takeRetry }: ChooseCommandOptions): number {
+function computeRetryDelayMs({ job, random, takeRetry }: ChooseCommandOptions): number {
   const boundMs = Math.min(retryCapMs, retryBaseMs * 2 ** Math.min(job.attempts, 16))
   return Math.round(takeRetry() + random() * boundMs)
 }
--- a/control/gangs/src/collectAnswer.ts
+++ b/control/gangs/src/collectAnswer.ts
@@ -18,16 +18,16 @@
   for (const [rank, member] of members.entries()) {
     const body = bodies[rank]
     if (body === undefined)
-      return describeFault('lost', `the answer of ${member.upstreamId} is gone`)
+      return createStoppedOutcome('lost', `the answer of ${member.upstreamId} is gone`)
     if (!isUtf8(body))
-      return describeFault('failed', `the answer of ${member.upstreamId} is not UTF-8`)
+      return createStoppedOutcome('failed', `the answer of ${member.upstreamId} is not UTF-8`)
     const { taskId } = member.task
     parts.push({ taskId, upstreamId: member.upstreamId, body: body.toString('utf8') })
   }
   return { kind: 'finished', parts }
 }
 
-function describeFault(kind: 'lost' | 'failed', reason: string): GangOutcome {
+function createStoppedOutcome(kind: 'lost' | 'failed', reason: string): GangOutcome {
   return { kind, reason, startSent: true }
 }
 
@@ -36,13 +36,13 @@
   member: GangMember,
   signal: AbortSignal,
 ): Promise<Buffer | undefined> {
-  const endMs = opts.clock.monotonicMs() + opts.timings.taskLeaseMs
+  const deadlineMs = opts.clock.monotonicMs() + opts.timings.taskLeaseMs
   for (;;) {
     signal.throwIfAborted()
     const answer = await member.getAnswer().run()
     if (answer.isRight()) return answer.extract()
     await member.renew()
-    if (member.isLost || opts.clock.monotonicMs() >= endMs) return undefined
+    if (member.isLost || opts.clock.monotonicMs() >= deadlineMs) return undefined
     await opts.clock.sleep(collectRetryMs, signal)
   }
 }
--- a/control/gangs/src/endedLog.ts
+++ b/control/gangs/src/endedGangLog.ts
@@ -4,7 +4,7 @@
 
 const windowMs = 1000
 /** Cancelled gangs with a line of their own in one window. */
-const linesMax = 20
+const cancelledLinesMax = 20
 
 export interface EndedGang {
   readonly jobId: string
@@ -14,7 +14,7 @@
   readonly reason: string
 }
 
-export class EndedLog {
+export class EndedGangLog {
   readonly #clock: Clock
   readonly #logger: Logger
   #lines = 0
@@ -26,15 +26,15 @@
     this.#logger = logger
   }
 
-  note(gang: EndedGang): void {
-    if (gang.state === 'cancelled' && !this.#takeLine()) {
+  logEnd(gang: EndedGang): void {
+    if (gang.state === 'cancelled' && !this.#tryTakeLine()) {
       this.#unlogged += 1
       return
     }
     this.#logger.info({ event: 'gang.ended', ...gang })
   }
 
-  #takeLine(): boolean {
+  #tryTakeLine(): boolean {
     if (!this.#windowIsOpen) {
       this.#windowIsOpen = true
       this.#clock.setTimer(windowMs, () => {
@@ -42,7 +42,7 @@
       })
     }
     this.#lines += 1
-    return this.#lines <= linesMax
+    return this.#lines <= cancelledLinesMax
   }
 
   #closeWindow(): void {
--- a/control/gangs/src/gangManager.ts
+++ b/control/gangs/src/gangManager.ts
@@ -4,12 +4,12 @@
 import type { JobRecord } from '@nettlespur/control.state'
 import { toNettlespurError } from '@nettlespur/core.errors'
 import { BehaviorSubject } from 'rxjs'
-import { EndedLog } from './endedLog.js'
+import { EndedGangLog } from './endedGangLog.js'
 import type { GangOptions } from './gangOptions.js'
 import { GangRunner, type GangContext } from './gangRunner.js'
 import { RetryBudget } from './retryBudget.js'
 
-const resumeAfterMs = 1000
+const pauseAfterFaultMs = 1000
 
 interface RunningGang {
   readonly ended: Promise<void>
@@ -24,20 +24,20 @@
   /** By job id and by task id, so that news reaches its gang without asking the others. */
   readonly #wakes = new Map<string, BehaviorSubject<number>>()
   readonly #retries: RetryBudget
-  readonly #endedLog: EndedLog
+  readonly #endedLog: EndedGangLog
 
   constructor(opts: GangOptions) {
     this.#opts = opts
     // One listener for each gang is no leak.
     setMaxListeners(0, this.#stopping.signal)
     this.#retries = new RetryBudget(opts.clock)
-    this.#endedLog = new EndedLog(opts.clock, opts.logger)
+    this.#endedLog = new EndedGangLog(opts.clock, opts.logger)
     const subscriptions = [
       opts.holder.jobChanges.subscribe((job) => {
-        raise(this.#wakes.get(job.jobId))
+        incrementWake(this.#wakes.get(job.jobId))
       }),
       opts.taskReports.subscribe(({ taskId, state }) => {
-        if (state !== 'running') raise(this.#wakes.get(taskId))
+        if (state !== 'running') incrementWake(this.#wakes.get(taskId))
       }),
       opts.upstreamChanges.subscribe((upstreamId) => {
         this.#wakeGangsOn(upstreamId)
@@ -55,7 +55,7 @@
 
   /** Runs a gang that was placed just now. */
   start(job: JobRecord): void {
-    this.#own(job, (runner) => runner.run(job))
+    this.#runGang(job, (runner) => runner.run(job))
   }
 
   /**
@@ -64,7 +64,7 @@
    */
   recover(): void {
     for (const job of this.#opts.holder.state.listLiveJobs()) {
-      this.#own(job, (runner) => runner.resume(job))
+      this.#runGang(job, (runner) => runner.resume(job))
     }
   }
 
@@ -74,9 +74,9 @@
     await Promise.all([...this.#running.values()].map((gang) => gang.ended))
   }
 
-  #own(job: JobRecord, run: (runner: GangRunner) => Promise<void>): void {
+  #runGang(job: JobRecord, run: (runner: GangRunner) => Promise<void>): void {
     const { placement, jobId } = job
-    if (placement === undefined || this.#mustStop()) return
+    if (placement === undefined || this.#isStopping()) return
     const name = `${jobId}/${placement.fence}`
     if (this.#running.has(name)) return
     const wake = new BehaviorSubject(0)
@@ -96,7 +96,7 @@
 
   #wakeGangsOn(upstreamId: string): void {
     for (const { wake, placement } of this.#running.values()) {
-      if (placement.members.some((member) => member.upstreamId === upstreamId)) raise(wake)
+      if (placement.members.some((member) => member.upstreamId === upstreamId)) incrementWake(wake)
     }
   }
 
@@ -107,17 +107,17 @@
 
   /** An unforeseen failure leaves the gang to the next `recover`, after a pause. */
   async #pauseAfterFault(jobId: string, fence: number, thrown: unknown): Promise<void> {
-    if (this.#mustStop()) return
+    if (this.#isStopping()) return
     const reason = toNettlespurError(thrown).message
     this.#opts.logger.error({ event: 'gang.task-failed', jobId, fence, reason })
-    await this.#opts.clock.sleep(resumeAfterMs, this.#stopping.signal)
+    await this.#opts.clock.sleep(pauseAfterFaultMs, this.#stopping.signal)
   }
 
-  #mustStop(): boolean {
+  #isStopping(): boolean {
     return this.#stopping.signal.aborted
   }
 }
 
-function raise(wake: BehaviorSubject<number> | undefined): void {
+function incrementWake(wake: BehaviorSubject<number> | undefined): void {
   wake?.next(wake.value + 1)
 }
--- a/control/gangs/src/gangMember.ts
+++ b/control/gangs/src/gangMember.ts
@@ -35,7 +35,7 @@
   #state: TaskState | undefined
   #failure: string | undefined
   #startRefused = false
-  #startMayHaveLeft = false
+  #mayHaveSentStart = false
   #earliestLeaseEndMs = 0
   #latestLeaseEndMs = 0
   #failedCalls = 0
@@ -56,8 +56,8 @@
     return this.#failure ?? 'no reason given'
   }
 
-  get startMayHaveLeft(): boolean {
-    return this.#startMayHaveLeft
+  get mayHaveSentStart(): boolean {
+    return this.#mayHaveSentStart
   }
 
   /** True where the member can't be relied on any more, whatever it may still be doing. */
@@ -82,8 +82,8 @@
 
   /** Neither announced by its upstream nor found by its leader, while other upstreams are heard. */
   get #isPresumedDead(): boolean {
-    const silent = this.#failedCalls >= failedCallsMax
-    return silent && this.#opts.isUpstreamSilent(this.upstreamId)
+    const hasFailedCalls = this.#failedCalls >= failedCallsMax
+    return hasFailedCalls && this.#opts.isUpstreamSilent(this.upstreamId)
   }
 
   get #mayBeRunning(): boolean {
@@ -95,12 +95,12 @@
     const leaseEndMs = this.#opts.clock.monotonicMs() + this.#opts.timings.taskLeaseMs
     this.#earliestLeaseEndMs = leaseEndMs
     this.#latestLeaseEndMs = leaseEndMs
-    this.#startMayHaveLeft = true
+    this.#mayHaveSentStart = true
   }
 
   async reserve(body: ReserveTask): Promise<Either<NettlespurError, TaskStatus>> {
     const { address, taskId } = this.task
-    return this.#renewing(() => this.#opts.client.reserve(address, taskId, body))
+    return this.#callAndRenewLease(() => this.#opts.client.reserve(address, taskId, body))
   }
 
   /** Renews the lease, learns the state, and starts the task where that is still due. */
@@ -115,7 +115,7 @@
     const renewal = this.#opts.client
       .renew(address, { leases: [{ taskId, fence, leaseMs }] })
       .map(([status]) => status ?? { taskId, fence, state: 'unknown' as const })
-    await this.#renewing(() => renewal)
+    await this.#callAndRenewLease(() => renewal)
   }
 
   /** Resolves once nothing of the task can run any more. Rejects when `signal` is aborted. */
@@ -126,14 +126,14 @@
       const stop = { jobId: this.#jobId, graceMs: timings.stopGraceMs }
       const answer = await client.stop(this.task, stop).run()
       const state = answer
-        .map((status) => this.#read(status))
+        .map((status) => this.#recordStatus(status))
         .toMaybe()
         .extractNullable()
       if (state !== null && stoppedStates.has(state)) return state
       const freeAtMs = this.#latestLeaseEndMs + timings.clockDriftMarginMs
-      const leftMs = freeAtMs - clock.monotonicMs()
-      if (answer.isLeft() && leftMs <= 0) return 'lease-over'
-      await clock.sleep(leftMs > 0 ? Math.min(stopRetryMs, leftMs) : stopRetryMs, signal)
+      const untilFreeMs = freeAtMs - clock.monotonicMs()
+      if (answer.isLeft() && untilFreeMs <= 0) return 'lease-over'
+      await clock.sleep(untilFreeMs > 0 ? Math.min(stopRetryMs, untilFreeMs) : stopRetryMs, signal)
     }
   }
 
@@ -149,37 +149,37 @@
   }
 
   async #start(): Promise<void> {
-    const before = this.#startMayHaveLeft
-    this.#startMayHaveLeft = true
+    const before = this.#mayHaveSentStart
+    this.#mayHaveSentStart = true
     const answer = await this.#opts.client.start(this.task).run()
     answer.caseOf({
-      Right: (status) => void this.#read(status),
+      Right: (status) => void this.#recordStatus(status),
       Left: ({ kind }) => {
         this.#state = undefined
         this.#startRefused = startRefusals.has(kind)
-        if (kind === 'unreachable' || this.#startRefused) this.#startMayHaveLeft = before
+        if (kind === 'unreachable' || this.#startRefused) this.#mayHaveSentStart = before
       },
     })
   }
 
-  async #renewing(
+  async #callAndRenewLease(
     call: () => EitherAsync<NettlespurError, TaskStatus>,
   ): Promise<Either<NettlespurError, TaskStatus>> {
     const { clock, timings } = this.#opts
     const sentMs = clock.monotonicMs()
     const answer = await call().run()
     this.#failedCalls = answer.isLeft() ? this.#failedCalls + 1 : 0
-    const nothingLeft = answer.isLeft() && answer.extract().kind === 'unreachable'
-    if (!nothingLeft) this.#latestLeaseEndMs = clock.monotonicMs() + timings.taskLeaseMs
+    const wasNotSent = answer.isLeft() && answer.extract().kind === 'unreachable'
+    if (!wasNotSent) this.#latestLeaseEndMs = clock.monotonicMs() + timings.taskLeaseMs
     answer.ifRight((status) => {
       this.#earliestLeaseEndMs = sentMs + timings.taskLeaseMs
-      this.#read(status)
+      this.#recordStatus(status)
     })
     return answer
   }
 
   /** A status of another fence says nothing of this task but that it is not here. */
-  #read(status: TaskStatus): TaskState {
+  #recordStatus(status: TaskStatus): TaskState {
     this.#state = status.fence === this.task.fence ? status.state : 'unknown'
     this.#failure = status.failure
     return this.#state
--- a/control/gangs/src/gangOutcome.ts
+++ b/control/gangs/src/gangOutcome.ts
@@ -9,7 +9,7 @@
 }
 
 /** A task failed by itself, a member was lost, or the caller cancelled. */
-export interface GangBroken {
+export interface GangAborted {
   readonly kind: 'failed' | 'lost' | 'cancelled'
   readonly reason: string
   /** False where it is certain that no start left. */
@@ -27,7 +27,7 @@
   readonly checkpointId?: string | undefined
 }
 
-export type GangStopped = GangBroken | GangPreempted
+export type GangStopped = GangAborted | GangPreempted
 export type GangOutcome = GangFinished | GangStopped
 
 /** A task that fails within this time of its start casts suspicion on its upstream. */
@@ -37,11 +37,11 @@
  * What the states of the members amount to; undefined while the gang goes on. `ranMs`: since
  * its start, infinite where that is not known.
  */
-export function judgeMembers(
+export function evaluateMembers(
   members: readonly GangMember[],
   ranMs: number,
-): GangBroken | 'finished' | undefined {
-  const startSent = members.some((member) => member.startMayHaveLeft)
+): GangAborted | 'finished' | undefined {
+  const startSent = members.some((member) => member.mayHaveSentStart)
   const failed = members.find((member) => member.state === 'failed')
   if (failed !== undefined) {
     return {
--- a/control/gangs/src/gangRunner.ts
+++ b/control/gangs/src/gangRunner.ts
@@ -9,10 +9,10 @@
 import { chooseCommand } from './chooseCommand.js'
 import { collectAnswer } from './collectAnswer.js'
 import { createReserveBody } from './createReserveBody.js'
-import type { EndedLog } from './endedLog.js'
+import type { EndedGangLog } from './endedGangLog.js'
 import { GangMember } from './gangMember.js'
 import type { GangOptions } from './gangOptions.js'
-import { judgeMembers, type GangOutcome, type GangStopped } from './gangOutcome.js'
+import { evaluateMembers, type GangOutcome, type GangStopped } from './gangOutcome.js'
 import { LeaderLog } from './leaderLog.js'
 import type { RetryBudget } from './retryBudget.js'
 import { takeCheckpoint } from './takeCheckpoint.js'
@@ -20,13 +20,13 @@
 
 const firstPollMs = 50
 /** A refused command about the end of a job is chosen anew this often: a cancel may have come between. */
-const settleTriesMax = 3
+const endCommitTriesMax = 3
 
 /** What a gang shares with the others of its manager. */
 export interface GangContext {
   readonly opts: GangOptions
   readonly retries: RetryBudget
-  readonly endedLog: EndedLog
+  readonly endedLog: EndedGangLog
   /** Raised when the job, one of its tasks or one of its upstreams has changed. */
   readonly wake: BehaviorSubject<number>
   /** Ends the run without any further call: the gang goes on under its next leader. */
@@ -59,24 +59,24 @@
   /** From the reservation on. */
   async run(job: JobRecord): Promise<void> {
     const refusal = await this.#reserveAll(job)
-    const unstarted = refusal ?? (await this.#commitStart())
-    const outcome = unstarted ?? (await this.#watch())
-    await this.#end(outcome)
+    const startFailure = refusal ?? (await this.#commitStart())
+    const outcome = startFailure ?? (await this.#renewUntilEnd())
+    await this.#stopAndCommitEnd(outcome)
   }
 
   /** Takes over a gang that another leader placed: what has not started is undone, what has goes on. */
   async resume(job: JobRecord): Promise<void> {
     for (const member of this.#members) member.adopt()
-    const outcome = (await this.#endUnfinished(job)) ?? (await this.#watch())
-    await this.#end(outcome)
+    const outcome = (await this.#completePendingStop(job)) ?? (await this.#renewUntilEnd())
+    await this.#stopAndCommitEnd(outcome)
   }
 
   /** What another leader left undone; undefined where the gang is to go on. */
-  async #endUnfinished(job: JobRecord): Promise<GangStopped | undefined> {
+  async #completePendingStop(job: JobRecord): Promise<GangStopped | undefined> {
     const startSent = job.startCommitted
     if (startSent && job.preemption !== undefined) return this.#preempt(job)
     if (job.state === 'running') return undefined
-    const stop = this.#describeStop(job, startSent)
+    const stop = this.#createStopOutcome(job, startSent)
     return stop ?? { kind: 'lost', reason: 'its leader was lost before the start', startSent }
   }
 
@@ -108,10 +108,10 @@
     const job = this.#readJob()
     if (job?.state === 'running') return undefined
     const lost = { kind: 'lost' as const, reason: result.error.message, startSent: false }
-    return (job && this.#describeStop(job, false)) ?? lost
+    return (job && this.#createStopOutcome(job, false)) ?? lost
   }
 
-  async #watch(): Promise<GangOutcome> {
+  async #renewUntilEnd(): Promise<GangOutcome> {
     const { clock, timings } = this.#opts
     let pauseMs = firstPollMs
     const { wake } = this.#context
@@ -120,10 +120,10 @@
       await Promise.all(this.#members.map((member) => member.renewAndStart()))
       this.#signal.throwIfAborted()
       const ranMs = clock.monotonicMs() - (this.#startedMs ?? Number.NEGATIVE_INFINITY)
-      const verdict = judgeMembers(this.#members, ranMs)
+      const verdict = evaluateMembers(this.#members, ranMs)
       if (verdict === 'finished') return collectAnswer(this.#opts, this.#members, this.#signal)
       if (verdict !== undefined) return verdict
-      const stop = await this.#obeyStop()
+      const stop = await this.#checkStopRequest()
       if (stop !== undefined) return stop
       const dueMs = Math.min(pauseMs, ...this.#members.map((member) => member.renewalDueMs))
       const woken = wake.pipe(filter((version) => version > seen))
@@ -134,24 +134,28 @@
   }
 
   /** Stops what is left, then commits how the job goes on. */
-  async #end(outcome: GangOutcome): Promise<void> {
-    if (outcome.kind === 'lost') await this.#log.confirmLead()
-    const settled = outcome.kind === 'finished' ? outcome : await this.#stopAll(outcome)
-    for (let tries = 0; tries < settleTriesMax; tries++) {
+  async #stopAndCommitEnd(outcome: GangOutcome): Promise<void> {
+    if (outcome.kind === 'lost') await this.#log.confirmLeadership()
+    const finalOutcome = outcome.kind === 'finished' ? outcome : await this.#stopAll(outcome)
+    for (let tries = 0; tries < endCommitTriesMax; tries++) {
       const job = this.#readJob()
       if (job === undefined) return
-      const command = this.#choose(job, settled)
+      const command = this.#chooseEndCommand(job, finalOutcome)
       const result = await this.#log.commit(command)
       this.#logEnd(command, result)
       if (result.type !== 'refused') return
       if (result.error.kind === 'body-too-large') {
-        await this.#end({ kind: 'failed', reason: result.error.message, startSent: true })
+        await this.#stopAndCommitEnd({
+          kind: 'failed',
+          reason: result.error.message,
+          startSent: true,
+        })
         return
       }
     }
   }
 
-  #choose(job: JobRecord, outcome: GangOutcome): Command {
+  #chooseEndCommand(job: JobRecord, outcome: GangOutcome): Command {
     const { clock, random, holder } = this.#opts
     const { workspace } = job.request
     const limits = holder.state.getContract(workspace)?.contract.limits
@@ -182,15 +186,15 @@
   }
 
   /** Whether the job is to be cancelled or to make way; undefined where it goes on. */
-  async #obeyStop(): Promise<GangStopped | undefined> {
-    const startSent = this.#members.some((member) => member.startMayHaveLeft)
+  async #checkStopRequest(): Promise<GangStopped | undefined> {
+    const startSent = this.#members.some((member) => member.mayHaveSentStart)
     const job = this.#readJob()
     if (job === undefined) return { kind: 'cancelled', reason: 'its record is gone', startSent }
     if (job.preemption !== undefined) return this.#preempt(job)
-    return this.#describeStop(job, startSent)
+    return this.#createStopOutcome(job, startSent)
   }
 
-  #describeStop(job: JobRecord, startSent: boolean): GangStopped | undefined {
+  #createStopOutcome(job: JobRecord, startSent: boolean): GangStopped | undefined {
     if (job.cancelRequested) {
       return { kind: 'cancelled', reason: 'stopped for its caller', startSent }
     }
@@ -212,25 +216,30 @@
       return { kind: 'preempted', reason, startSent: true, checkpointId }
     }
     const at = this.#opts.clock.now().toISOString()
-    const kept = 'no checkpoint of the whole gang could be taken in time; it runs on'
-    await this.#log.commit({ type: 'job.keep', at, ...this.#describe(), reason: kept })
-    this.#opts.logger.warn({ event: 'gang.kept', ...this.#describe(), reason: kept })
+    const keptReason = 'no checkpoint of the whole gang could be taken in time; it runs on'
+    await this.#log.commit({
+      type: 'job.keep',
+      at,
+      ...this.#identifyPlacement(),
+      reason: keptReason,
+    })
+    this.#opts.logger.warn({ event: 'gang.kept', ...this.#identifyPlacement(), reason: keptReason })
     return undefined
   }
 
   #logEnd(command: Command, result: CommandResult): void {
     const { logger } = this.#opts
-    const head = { ...this.#describe(), type: command.type }
+    const head = { ...this.#identifyPlacement(), type: command.type }
     if (result.type === 'refused') {
       logger.warn({ event: 'gang.settle-refused', ...head, reason: result.error.message })
     }
     if (result.type === 'job') {
       const { state, reason } = result.job
-      this.#context.endedLog.note({ ...head, state, reason })
+      this.#context.endedLog.logEnd({ ...head, state, reason })
     }
   }
 
-  #describe(): { jobId: string; fence: number } {
+  #identifyPlacement(): { jobId: string; fence: number } {
     return { jobId: this.#jobId, fence: this.#placement.fence }
   }
 }
--- a/control/gangs/src/leaderLog.ts
+++ b/control/gangs/src/leaderLog.ts
@@ -33,7 +33,7 @@
    * Until it is sure, nothing is renewed either, so that the gang ends with its leases at the latest.
    * Rejects when the leadership ends.
    */
-  async confirmLead(): Promise<void> {
+  async confirmLeadership(): Promise<void> {
     while ((await this.#opts.log.readBarrier().run()).isLeft()) {
       this.#signal.throwIfAborted()
       await this.#opts.clock.sleep(retryMs, this.#signal)
--- a/control/gangs/src/retryBudget.ts
+++ b/control/gangs/src/retryBudget.ts
@@ -10,8 +10,8 @@
 
 export class RetryBudget {
   readonly #clock: Clock
-  readonly #workspaces = new Map<string, number>()
-  #cluster = 0
+  readonly #spentThroughByWorkspace = new Map<string, number>()
+  #clusterSpentThroughMs = 0
 
   constructor(clock: Clock) {
     this.#clock = clock
@@ -20,15 +20,27 @@
   /** Takes one retry and tells how long it must wait, in milliseconds. */
   take(workspace: string, retriesPerSecond: number): number {
     const nowMs = this.#clock.monotonicMs()
-    const own = advance(this.#workspaces.get(workspace) ?? 0, nowMs, retriesPerSecond)
-    this.#workspaces.set(workspace, own)
-    this.#cluster = advance(this.#cluster, nowMs, clusterRetriesPerSecond)
-    return Math.max(0, own - nowMs - burstMs, this.#cluster - nowMs - burstMs)
+    const workspaceSpentThroughMs = spendRetry(
+      this.#spentThroughByWorkspace.get(workspace) ?? 0,
+      nowMs,
+      retriesPerSecond,
+    )
+    this.#spentThroughByWorkspace.set(workspace, workspaceSpentThroughMs)
+    this.#clusterSpentThroughMs = spendRetry(
+      this.#clusterSpentThroughMs,
+      nowMs,
+      clusterRetriesPerSecond,
+    )
+    return Math.max(
+      0,
+      workspaceSpentThroughMs - nowMs - burstMs,
+      this.#clusterSpentThroughMs - nowMs - burstMs,
+    )
   }
 }
 
 /** The time through which the budget is spent, after one more retry. */
-function advance(spentThroughMs: number, nowMs: number, perSecond: number): number {
+function spendRetry(spentThroughMs: number, nowMs: number, perSecond: number): number {
   const costMs = perSecond === 0 ? 0 : 1000 / perSecond
   return Math.max(spentThroughMs, nowMs) + costMs
 }
--- a/control/gangs/src/takeCheckpoint.ts
+++ b/control/gangs/src/takeCheckpoint.ts
@@ -14,11 +14,14 @@
   signal: AbortSignal,
 ): Promise<string | undefined> {
   const taken = Promise.all(members.map((member) => member.checkpoint()))
-  const late = new AbortController()
-  const timeout = opts.clock.sleep(checkpointTimeoutMs, AbortSignal.any([signal, late.signal]))
+  const timerAbort = new AbortController()
+  const timeout = opts.clock.sleep(
+    checkpointTimeoutMs,
+    AbortSignal.any([signal, timerAbort.signal]),
+  )
   const ids = await Promise.race([taken, timeout])
-  late.abort()
+  timerAbort.abort()
   signal.throwIfAborted()
-  const whole = ids?.filter((id) => id !== undefined)
-  return whole?.length === members.length ? whole.join(separator) : undefined
+  const takenIds = ids?.filter((id) => id !== undefined)
+  return takenIds?.length === members.length ? takenIds.join(separator) : undefined
 }
--- a/control/gangs/test/createGangs.ts
+++ b/control/gangs/test/createGangFixture.ts
@@ -16,9 +16,9 @@
   stopGraceMs: 2000,
 }
 /** Longer than any lease with its margin. */
-export const leasesOverMs = 40_000
+export const allLeasesExpiredMs = 40_000
 
-export async function createGangs() {
+export async function createGangFixture() {
   const clock = new ManualClock(new Date('2026-01-01T00:00:00Z'))
   const holder = new StateHolder()
   const log = new MemoryLog(holder)
@@ -50,10 +50,10 @@
   return { ...opts, lines, silentUpstreams, createManager: () => new GangManager(opts) }
 }
 
-export type Gangs = Awaited<ReturnType<typeof createGangs>>
+export type GangFixture = Awaited<ReturnType<typeof createGangFixture>>
 
 export async function submitGang(
-  { clock, log }: Gangs,
+  { clock, log }: GangFixture,
   fields: Partial<JobRequest>,
 ): Promise<string> {
   const at = clock.now().toISOString()
@@ -64,7 +64,7 @@
 
 /** Places a queued job over two upstreams, at addresses `a0` and `a1`. */
 export async function placeGang(
-  { clock, log }: Gangs,
+  { clock, log }: GangFixture,
   jobId: string,
   acceleratorIndex = 0,
 ): Promise<JobRecord> {
@@ -80,7 +80,7 @@
 }
 
 export async function startGang(
-  gangs: Gangs,
+  gangs: GangFixture,
   fields: Partial<JobRequest>,
   manager = gangs.createManager(),
   acceleratorIndex = 0,
@@ -92,17 +92,17 @@
   return { job, manager, first: first ?? '', second: second ?? '' }
 }
 
-export function readState({ holder }: Gangs, { jobId }: JobRecord): JobRecord | undefined {
+export function readState({ holder }: GangFixture, { jobId }: JobRecord): JobRecord | undefined {
   return holder.state.getJob('demo', jobId)
 }
 
-export async function cancel({ log, clock }: Gangs, { jobId }: JobRecord): Promise<void> {
+export async function cancel({ log, clock }: GangFixture, { jobId }: JobRecord): Promise<void> {
   const at = clock.now().toISOString()
   await unwrap(log.propose({ type: 'job.cancel', at, workspace: 'demo', jobId }))
 }
 
 export async function preempt(
-  { log, clock }: Gangs,
+  { log, clock }: GangFixture,
   { jobId, placement }: JobRecord,
   withCheckpoint: boolean,
 ): Promise<void> {
--- a/control/gangs/test/gangManager.test.ts
+++ b/control/gangs/test/gangManager.test.ts
@@ -1,13 +1,20 @@
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
-import { cancel, createGangs, leasesOverMs, readState, startGang, timings } from './createGangs.js'
+import {
+  cancel,
+  createGangFixture,
+  allLeasesExpiredMs,
+  readState,
+  startGang,
+  timings,
+} from './createGangFixture.js'
 
 test('a gang whose members all finish gives its whole answer in rank order', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   t.deepEqual(gangs.client.started, [first, second])
   gangs.client.finish(second, 'two')
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.is(readState(gangs, job)?.state, 'running')
   gangs.client.finish(first, 'one')
   gangs.taskReports.next({ taskId: first, fence: 1, state: 'finished' })
@@ -21,7 +28,7 @@
 })
 
 test('one refused reservation starts nothing, and the job goes back to the queue', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.client.refusing.add('a1')
   const { job, first } = await startGang(gangs, { repeatable: false })
   t.deepEqual(gangs.client.started, [])
@@ -31,7 +38,7 @@
 })
 
 test('a reservation whose answer is lost keeps its accelerators until its lease must be over', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.client.mute.add('a1')
   const { job } = await startGang(gangs, {})
   await gangs.clock.advance(timings.taskLeaseMs)
@@ -43,7 +50,7 @@
 })
 
 test('a lost member stops all others; a repeatable job is tried again', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: true })
   gangs.client.forget('a1')
   await gangs.clock.advance(timings.renewTasksEveryMs)
@@ -52,7 +59,7 @@
 })
 
 test('accelerators of a silent upstream are free only after its lease and the drift margin', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: true })
   gangs.client.unreachable.add('a1')
   await gangs.clock.advance(timings.taskLeaseMs)
@@ -63,7 +70,7 @@
 })
 
 test('a job that is not repeatable and loses a member after its start ends unknown', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job } = await startGang(gangs, { repeatable: false })
   gangs.client.forget('a1')
   await gangs.clock.advance(timings.renewTasksEveryMs)
@@ -72,19 +79,19 @@
 })
 
 test('a job that is not repeatable goes back to the queue where no start can have left', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type !== 'job.started') return
     gangs.client.unreachable.add('a0').add('a1')
   }
   const { job } = await startGang(gangs, { repeatable: false })
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.like(readState(gangs, job), { state: 'queued', startedAt: undefined })
   t.deepEqual(gangs.client.started, [])
 })
 
 test('a task that fails by itself ends a job that is not repeatable, with its reason', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   gangs.client.fail(second, 'out of memory')
   await gangs.clock.advance(timings.renewTasksEveryMs)
@@ -94,7 +101,7 @@
 })
 
 test('a restart before the start was committed starts nothing and requeues the job', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type === 'job.started') throw new NettlespurError('no-quorum', 'cut off')
   }
@@ -109,11 +116,11 @@
 })
 
 test('a running gang is taken over by the next leader, not started again', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, manager, first, second } = await startGang(gangs, { repeatable: false })
   await manager.stop()
   gangs.createManager().recover()
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.deepEqual(gangs.client.started, [first, second])
   for (const taskId of [first, second]) gangs.client.finish(taskId, 'whole')
   await gangs.clock.advance(timings.renewTasksEveryMs)
@@ -121,19 +128,19 @@
 })
 
 test('a restart between the start and its loss never runs an unrepeatable job twice', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, manager } = await startGang(gangs, { repeatable: false })
   await manager.stop()
   gangs.client.forget('a0')
   gangs.client.forget('a1')
   gangs.createManager().recover()
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.is(readState(gangs, job)?.state, 'unknown')
   t.is(gangs.client.started.length, 2)
 })
 
 test('a start whose answers are lost is not repeated where the task has begun', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type === 'job.started') gangs.client.mute.add('a0')
   }
@@ -145,7 +152,7 @@
 })
 
 test('a cancelled gang ends only once all of its members are known to have stopped', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, {})
   gangs.client.mute.add('a1')
   await cancel(gangs, job)
@@ -159,7 +166,7 @@
 })
 
 test('a gang that had finished when its cancel arrived gives its answer', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   for (const taskId of [first, second]) gangs.client.finish(taskId, 'whole')
   await cancel(gangs, job)
@@ -168,7 +175,7 @@
 })
 
 test('a gang without contact at its leader stops by itself at the end of its leases', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { manager } = await startGang(gangs, {})
   await manager.stop()
   await gangs.clock.advance(timings.taskLeaseMs)
@@ -176,7 +183,7 @@
 })
 
 test('a leader that is cut off from its quorum and from an upstream stops no other member', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { manager, first } = await startGang(gangs, { repeatable: false })
   gangs.log.cutOff = true
   gangs.client.unreachable.add('a1')
@@ -187,6 +194,6 @@
   gangs.log.cutOff = false
   gangs.client.unreachable.clear()
   gangs.createManager().recover()
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.is(gangs.client.stateOf(first), 'running')
 })
--- a/control/gangs/test/gangProperties.test.ts
+++ b/control/gangs/test/gangProperties.test.ts
@@ -4,15 +4,15 @@
 import fc from 'fast-check'
 import {
   cancel,
-  createGangs,
-  leasesOverMs,
+  createGangFixture,
+  allLeasesExpiredMs,
   preempt,
   submitGang,
-  type Gangs,
-} from './createGangs.js'
+  type GangFixture,
+} from './createGangFixture.js'
 
 const addresses = ['a0', 'a1', 'a2']
-const acceleratorsEach = 2
+const acceleratorsPerUpstream = 2
 const gangSize = 2
 
 const jobIndex = fc.nat({ max: 5 })
@@ -75,11 +75,11 @@
 type Step = typeof steps extends fc.Arbitrary<infer T> ? T : never
 
 /** Gangs with a placer that takes the first free accelerators, and the leader that runs them. */
-class Trial {
-  readonly gangs: Gangs
-  #manager: ReturnType<Gangs['createManager']>
+class GangSimulation {
+  readonly gangs: GangFixture
+  #manager: ReturnType<GangFixture['createManager']>
 
-  constructor(gangs: Gangs) {
+  constructor(gangs: GangFixture) {
     this.gangs = gangs
     this.#manager = gangs.createManager()
   }
@@ -127,9 +127,9 @@
   }
 
   /** All faults end, and whatever is under way comes to its end or goes on. */
-  async settle(): Promise<void> {
+  async healAndSettle(): Promise<void> {
     this.#heal()
-    await this.gangs.clock.advance(leasesOverMs)
+    await this.gangs.clock.advance(allLeasesExpiredMs)
   }
 
   #heal(): void {
@@ -153,7 +153,7 @@
     this.#manager.recover()
     for (const job of holder.state.listLiveJobs()) {
       if (job.state !== 'queued') continue
-      const assignments = pickFree(holder.state.listLiveJobs())
+      const assignments = pickFreeAccelerators(holder.state.listLiveJobs())
       if (assignments === undefined) return
       const at = clock.now().toISOString()
       const command = { type: 'job.place' as const, at, jobId: job.jobId, assignments, reason: '' }
@@ -181,12 +181,12 @@
 }
 
 /** The first free accelerators, on as many upstreams as the gang has members. */
-function pickFree(jobs: readonly JobRecord[]) {
+function pickFreeAccelerators(jobs: readonly JobRecord[]) {
   const members = jobs.flatMap((job) => job.placement?.members ?? [])
   const free = addresses.flatMap((at) => {
     const used = members.filter((member) => member.address === at)
     const taken = new Set(used.flatMap((member) => member.acceleratorIndexes))
-    const index = [...Array(acceleratorsEach).keys()].find((one) => !taken.has(one))
+    const index = [...Array(acceleratorsPerUpstream).keys()].find((one) => !taken.has(one))
     if (index === undefined) return []
     return [{ upstreamId: toUpstreamId(at), address: at, acceleratorIndexes: [index] }]
   })
@@ -194,7 +194,7 @@
 }
 
 /** What must hold at every moment; undefined where it does. */
-function findFault({ client, holder }: Gangs): string | undefined {
+function findViolation({ client, holder }: GangFixture): string | undefined {
   const held = new Set<string>()
   for (const { address: at, acceleratorIndexes, taskId } of client.listHolding()) {
     for (const index of acceleratorIndexes) {
@@ -208,8 +208,8 @@
     const [jobId = '', attempt = ''] = taskId.split('.')
     const job = state.getJob('demo', jobId)
     if (job?.state === 'cancelled' && job.startedAt === undefined) return `${jobId} did run`
-    const goesOn = client.reservations.get(taskId)?.checkpointId !== undefined
-    if (job?.request.repeatable === true || goesOn) continue
+    const isResumed = client.reservations.get(taskId)?.checkpointId !== undefined
+    if (job?.request.repeatable === true || isResumed) continue
     attempts.set(jobId, (attempts.get(jobId) ?? new Set()).add(attempt))
     if ((attempts.get(jobId)?.size ?? 0) > 1) return `${jobId} was started twice`
   }
@@ -217,30 +217,30 @@
 }
 
 /** What must hold once nothing is broken any more. */
-function findPart({ client, holder }: Gangs): string | undefined {
+function findPartialGang({ client, holder }: GangFixture): string | undefined {
   const holding = new Set(client.listHolding().map((task) => task.taskId))
   for (const job of holder.state.listLiveJobs()) {
     const taskIds = (job.placement?.members ?? []).map((member) => member.taskId)
-    const whole = taskIds.every((id) => holding.has(id) || client.stateOf(id) === 'finished')
-    if (!whole) return `${job.jobId} is ${job.state} with a part of its gang`
+    const isWhole = taskIds.every((id) => holding.has(id) || client.stateOf(id) === 'finished')
+    if (!isWhole) return `${job.jobId} is ${job.state} with a part of its gang`
     for (const taskId of taskIds) holding.delete(taskId)
   }
-  const [left] = holding
-  return left === undefined ? undefined : `${left} belongs to no gang`
+  const [orphan] = holding
+  return orphan === undefined ? undefined : `${orphan} belongs to no gang`
 }
 
 test('whatever fails, gangs run whole or not at all, no accelerator is handed on early, and none runs twice', async (t) => {
   const property = fc.asyncProperty(
     fc.array(steps, { minLength: 5, maxLength: 40 }),
     async (list) => {
-      const trial = new Trial(await createGangs())
+      const simulation = new GangSimulation(await createGangFixture())
       for (const step of list) {
-        await trial.apply(step)
-        const fault = findFault(trial.gangs)
+        await simulation.apply(step)
+        const fault = findViolation(simulation.gangs)
         if (fault !== undefined) throw new Error(fault)
       }
-      await trial.settle()
-      const fault = findFault(trial.gangs) ?? findPart(trial.gangs)
+      await simulation.healAndSettle()
+      const fault = findViolation(simulation.gangs) ?? findPartialGang(simulation.gangs)
       if (fault !== undefined) throw new Error(fault)
     },
   )
--- a/control/gangs/test/preemption.test.ts
+++ b/control/gangs/test/preemption.test.ts
@@ -1,17 +1,17 @@
 import test from 'ava'
 import {
   cancel,
-  createGangs,
-  leasesOverMs,
+  createGangFixture,
+  allLeasesExpiredMs,
   placeGang,
   preempt,
   readState,
   startGang,
   timings,
-} from './createGangs.js'
+} from './createGangFixture.js'
 
 test('a preempted gang stops whole at once and is queued again, as if it had not failed', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: true })
   const preemptedAt = gangs.clock.now().toISOString()
   await preempt(gangs, job, false)
@@ -25,7 +25,7 @@
 })
 
 test('the next attempt of a checkpointed gang goes on from the checkpoint of all its members', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false, checkpointable: true })
   await preempt(gangs, job, true)
   await gangs.clock.advance(1)
@@ -38,11 +38,11 @@
 })
 
 test('a job that is not repeatable runs on where no checkpoint of the whole gang is taken', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.client.refusingCheckpoints.add('a1')
   const { job, first, second } = await startGang(gangs, { repeatable: false, checkpointable: true })
   await preempt(gangs, job, true)
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.deepEqual(
     [first, second].map((id) => gangs.client.stateOf(id)),
     ['running', 'running'],
@@ -51,17 +51,17 @@
 })
 
 test('a job that is neither repeatable nor checkpointable is never preempted', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: false })
   await preempt(gangs, job, false)
   await preempt(gangs, job, true)
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.is(gangs.client.stateOf(first), 'running')
   t.is(readState(gangs, job)?.state, 'running')
 })
 
 test('a victim that ignores its stop keeps its accelerators until its lease must be over', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.client.ignoringStops.add('a1')
   const { job, second } = await startGang(gangs, { repeatable: true })
   await preempt(gangs, job, false)
@@ -74,7 +74,7 @@
 })
 
 test('a new leader completes a preemption that the former one began', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const fields = { repeatable: false, checkpointable: true }
   const { job, manager, first, second } = await startGang(gangs, fields)
   await manager.stop()
@@ -86,7 +86,7 @@
 })
 
 test('a cancelled victim ends cancelled, not queued', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, manager } = await startGang(gangs, { repeatable: true })
   await manager.stop()
   await preempt(gangs, job, false)
@@ -97,7 +97,7 @@
 })
 
 test('a silent upstream whose calls fail is found dead before its lease ends', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { first } = await startGang(gangs, { repeatable: true })
   gangs.client.unreachable.add('a1')
   await gangs.clock.advance(timings.renewTasksEveryMs)
@@ -109,7 +109,7 @@
 })
 
 test('a wave of cancellations leaves a bounded number of lines, and one that counts the rest', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const manager = gangs.createManager()
   const started = []
   for (let index = 0; index < 30; index++) started.push(await startGang(gangs, {}, manager, index))
