--- a/control/gangs/src/chooseCommand.ts
+++ b/control/gangs/src/chooseCommand.ts
@@ -1,10 +1,10 @@
-/** What is committed about a job once an attempt is over and all its members are known to be stopped. */
+/** Chooses the command to commit once an attempt is over and all of its members are known to have stopped. */
 import type { Command, JobRecord } from '@nettlespur/control.state'
 import type { GangAborted, GangOutcome, GangPreempted } from './gangOutcome.js'
 
-/** A job whose tasks failed by themselves on this many upstreams is at fault itself. */
+/** Once its tasks have failed on this many upstreams, the job itself is taken to be faulty and ends as failed. */
 export const failedUpstreamsMax = 3
-/** Started attempts that did not finish, before the job is given up. */
+/** Unfinished attempts that may have run, after which the job ends as failed. */
 const failedAttemptsMax = 8
 const retryBaseMs = 100
 const retryCapMs = 15_000
@@ -14,11 +14,11 @@
   fence: number
   outcome: GangOutcome
   now: Date
-  /** Between 0 and 1, for jitter. */
+  /** Returns a number between 0 and 1, for jitter. */
   random: () => number
-  /** Of the contract; 0 where it allows none. */
+  /** The retry limit of the workspace's contract; 0 if retries are not allowed. */
   retriesPerSecond: number
-  /** Takes a retry from the budgets; how long it must wait, in milliseconds. */
+  /** Takes a retry from the budgets and returns its delay in milliseconds. */
   takeRetry: () => number
 }
 
@@ -44,7 +44,7 @@
   return { type: 'job.requeue', ...head, reason, retryAt, startSent, countsAsFailure, failure }
 }
 
-/** The job has done nothing wrong: no pause, and no retry taken from its budget. */
+/** Requeues the job without a delay and without taking a retry, as preemption is not a failure of the job. */
 function requeuePreempted(
   { job, fence, now }: ChooseCommandOptions,
   outcome: GangPreempted,
@@ -64,7 +64,7 @@
   readonly reason: string
 }
 
-/** The final state of a started job; undefined where it is tried again. */
+/** Picks the final state of a job that may have run. Returns undefined if it is retried. */
 function pickFinalState(
   { job, retriesPerSecond }: ChooseCommandOptions,
   outcome: GangAborted,
@@ -84,7 +84,7 @@
   return { state: 'failed', reason: `${reason}; ${attempts} attempts did not finish` }
 }
 
-/** Full jitter over a bound that doubles with each attempt, after what the budgets ask for. */
+/** Adds the delay that the retry budgets ask for to exponential backoff with full jitter. */
 function computeRetryDelayMs({ job, random, takeRetry }: ChooseCommandOptions): number {
   const boundMs = Math.min(retryCapMs, retryBaseMs * 2 ** Math.min(job.attempts, 16))
   return Math.round(takeRetry() + random() * boundMs)
--- a/control/gangs/src/collectAnswer.ts
+++ b/control/gangs/src/collectAnswer.ts
@@ -1,4 +1,4 @@
-/** Collects the whole answer of a finished gang, one part for each member in rank order. */
+/** Collects the answer of a finished gang: one part for each member, in rank order. */
 import type { JobAnswer } from '@nettlespur/api.schemas'
 import { isUtf8 } from 'node:buffer'
 import type { GangMember } from './gangMember.js'
@@ -7,7 +7,7 @@
 
 const collectRetryMs = 250
 
-/** Collecting is repeatable: a part is asked for again until it is whole or its member is lost. */
+/** Retries each part until it is received, its member is lost, or a task lease has passed since the first try. */
 export async function collectAnswer(
   opts: GangOptions,
   members: readonly GangMember[],
--- a/control/gangs/src/createReserveBody.ts
+++ b/control/gangs/src/createReserveBody.ts
@@ -1,8 +1,8 @@
-/** What one member of a gang reserves on its upstream. */
+/** Creates the body with which one member of a gang reserves resources on its upstream. */
 import type { Placement, ReserveTask } from '@nettlespur/api.schemas'
 import type { JobRecord } from '@nettlespur/control.state'
 
-/** Processors and memory go by accelerators. */
+/** Splits CPU cores and memory in proportion to the accelerators of each member. */
 export function createReserveBody(
   job: JobRecord,
   placement: Placement,
--- a/control/gangs/src/endedGangLog.ts
+++ b/control/gangs/src/endedGangLog.ts
@@ -1,9 +1,9 @@
-/** Log lines of ended gangs. A wave of cancellations leaves some lines of its own and one that sums it up. */
+/** Logs ended gangs. Limits the lines about cancelled gangs per window and counts the rest in one line. */
 import type { Clock } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
 
 const windowMs = 1000
-/** Cancelled gangs with a line of their own in one window. */
+/** Cancelled gangs that are logged individually in one window. */
 const cancelledLinesMax = 20
 
 export interface EndedGang {
--- a/control/gangs/src/gangManager.ts
+++ b/control/gangs/src/gangManager.ts
@@ -1,4 +1,4 @@
-/** One task for each placed gang, for as long as this instance leads. */
+/** Runs each placed gang in an asynchronous task of its own for as long as this instance leads. */
 import { setMaxListeners } from 'node:events'
 import type { Placement } from '@nettlespur/api.schemas'
 import type { JobRecord } from '@nettlespur/control.state'
@@ -21,14 +21,14 @@
   readonly #opts: GangOptions
   readonly #stopping = new AbortController()
   readonly #running = new Map<string, RunningGang>()
-  /** By job id and by task id, so that news reaches its gang without asking the others. */
+  /** Keyed by job id and by task id, so that a change wakes its gang without a search of all gangs. */
   readonly #wakes = new Map<string, BehaviorSubject<number>>()
   readonly #retries: RetryBudget
   readonly #endedLog: EndedGangLog
 
   constructor(opts: GangOptions) {
     this.#opts = opts
-    // One listener for each gang is no leak.
+    // Each gang adds a listener, so Node's warning about a listener leak does not apply.
     setMaxListeners(0, this.#stopping.signal)
     this.#retries = new RetryBudget(opts.clock)
     this.#endedLog = new EndedGangLog(opts.clock, opts.logger)
@@ -48,19 +48,19 @@
     })
   }
 
-  /** Gangs that are being run. */
+  /** Number of gangs that are being run. */
   get size(): number {
     return this.#running.size
   }
 
-  /** Runs a gang that was placed just now. */
+  /** Runs a newly placed gang. */
   start(job: JobRecord): void {
     this.#runGang(job, (runner) => runner.run(job))
   }
 
   /**
-   * Takes over every placed gang of the state that is not run here: another leader placed it, its own task
-   * failed, or it was placed by a command whose answer was lost. Called often.
+   * Takes over every placed gang in the state that has no runner here, because another leader placed it, its
+   * runner failed, or the result of the command that placed it was lost. Called in each placement round.
    */
   recover(): void {
     for (const job of this.#opts.holder.state.listLiveJobs()) {
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Lets go of all gangs without stopping them; their tasks go on under the next leader. */
+  /** Ends all runners without stopping their gangs; the next leader takes the gangs over. */
   async stop(): Promise<void> {
     this.#stopping.abort()
     await Promise.all([...this.#running.values()].map((gang) => gang.ended))
@@ -105,7 +105,7 @@
     return { opts: this.#opts, retries: this.#retries, endedLog: this.#endedLog, wake, signal }
   }
 
-  /** An unforeseen failure leaves the gang to the next `recover`, after a pause. */
+  /** Logs an unexpected failure and waits; after that, the next `recover` takes the gang over. */
   async #pauseAfterFault(jobId: string, fence: number, thrown: unknown): Promise<void> {
     if (this.#isStopping()) return
     const reason = toNettlespurError(thrown).message
--- a/control/gangs/src/gangMember.ts
+++ b/control/gangs/src/gangMember.ts
@@ -1,7 +1,8 @@
 /**
- * One member of a placed gang: its calls, its last known state and its lease. The lease is known by two
- * bounds, since an unanswered call may have reached the upstream at any moment before it was given up:
- * the member is lost once the earlier has passed, and its accelerators are free only after the later one.
+ * One member of a placed gang: its calls, its last known state and its lease. The end of the lease is known
+ * only between two bounds, since an unanswered call may have reached the upstream at any time before it was
+ * given up. The member is lost once the earlier bound has passed; its accelerators are free only after the
+ * later one.
  */
 import type { PlacementMember, ReserveTask, TaskState, TaskStatus } from '@nettlespur/api.schemas'
 import type { NettlespurError } from '@nettlespur/core.errors'
@@ -9,7 +10,7 @@
 import type { Either, EitherAsync } from 'purify-ts'
 import type { GangOptions } from './gangOptions.js'
 
-/** After these no process of the task is left on its upstream. */
+/** In these states no process of the task is left on its upstream. */
 const stoppedStates: ReadonlySet<TaskState> = new Set([
   'finished',
   'failed',
@@ -18,13 +19,13 @@
   'lease-expired',
 ])
 const stopRetryMs = 250
-/** Renewals in a row without an answer after which a silent upstream counts as dead. */
+/** Consecutive unanswered renewals after which a silent upstream is presumed dead. */
 const failedCallsMax = 2
 const failedCallRetryMs = 1000
-/** Errors that tell for certain that a start had no effect. */
+/** Errors after which a start certainly had no effect. */
 const startRefusals: ReadonlySet<string> = new Set(['upstream-refused', 'fence-too-low'])
 
-/** How a stop was confirmed: by the upstream's word, or by the end of its lease. */
+/** How a stop was confirmed: by the state that the upstream reported, or by the end of the lease. */
 export type StopOutcome = TaskState | 'lease-over'
 
 export class GangMember {
@@ -51,23 +52,24 @@
     return this.#state
   }
 
-  /** Why the task failed, as its upstream says. */
+  /** Why the task failed, as reported by its upstream. */
   get failure(): string {
     return this.#failure ?? 'no reason given'
   }
 
+  /** False only if it is certain that no start of the task had an effect. */
   get mayHaveSentStart(): boolean {
     return this.#mayHaveSentStart
   }
 
-  /** True where the member can't be relied on any more, whatever it may still be doing. */
+  /** Whether the gang must do without this member, even if its task may still be running. */
   get isLost(): boolean {
     if (this.#startRefused) return true
     if (this.#mayBeRunning) return this.#leaseLeftMs <= 0 || this.#isPresumedDead
     return this.#state !== 'finished' && this.#state !== 'failed'
   }
 
-  /** Until it must be asked again: sooner after a failed call. Infinite once it has ended. */
+  /** Time until the next renewal is due: sooner after a failed call, infinite once the task has ended. */
   get renewalDueMs(): number {
     if (!this.#mayBeRunning) return Number.POSITIVE_INFINITY
     return this.#failedCalls > 0
@@ -75,12 +77,12 @@
       : this.#leaseLeftMs
   }
 
-  /** Until the member counts as lost unless it is renewed. */
+  /** Time until the member counts as lost unless its lease is renewed. */
   get #leaseLeftMs(): number {
     return this.#earliestLeaseEndMs - this.#opts.clock.monotonicMs()
   }
 
-  /** Neither announced by its upstream nor found by its leader, while other upstreams are heard. */
+  /** Whether renewals have failed repeatedly and the upstream is silent while others are not. */
   get #isPresumedDead(): boolean {
     const hasFailedCalls = this.#failedCalls >= failedCallsMax
     return hasFailedCalls && this.#opts.isUpstreamSilent(this.upstreamId)
@@ -90,7 +92,7 @@
     return this.#state === undefined || this.#state === 'reserved' || this.#state === 'running'
   }
 
-  /** Takes over a member that another leader placed; it may have renewed and started it just now. */
+  /** Takes over a member that another leader placed, and that it may have renewed and started just now. */
   adopt(): void {
     const leaseEndMs = this.#opts.clock.monotonicMs() + this.#opts.timings.taskLeaseMs
     this.#earliestLeaseEndMs = leaseEndMs
@@ -103,7 +105,7 @@
     return this.#callAndRenewLease(() => this.#opts.client.reserve(address, taskId, body))
   }
 
-  /** Renews the lease, learns the state, and starts the task where that is still due. */
+  /** Renews the lease, which also updates the state, and starts the task if it is only reserved. */
   async renewAndStart(): Promise<void> {
     if (this.#state !== 'reserved') await this.renew()
     if (this.#state === 'reserved') await this.#start()
@@ -118,7 +120,7 @@
     await this.#callAndRenewLease(() => renewal)
   }
 
-  /** Resolves once nothing of the task can run any more. Rejects when `signal` is aborted. */
+  /** Stops the task. Resolves once it can no longer run; rejects when `signal` is aborted. */
   async stop(signal: AbortSignal): Promise<StopOutcome> {
     const { clock, client, timings } = this.#opts
     for (;;) {
@@ -137,7 +139,7 @@
     }
   }
 
-  /** The checkpoint's id; undefined where none could be taken. */
+  /** Takes a checkpoint and returns its id, or undefined if none could be taken. */
   async checkpoint(): Promise<string | undefined> {
     const answer = await this.#opts.client.checkpoint(this.task).run()
     const status = answer.toMaybe().extract()
@@ -162,6 +164,7 @@
     })
   }
 
+  /** Runs a call that renews the lease, and updates both bounds of the lease by its result. */
   async #callAndRenewLease(
     call: () => EitherAsync<NettlespurError, TaskStatus>,
   ): Promise<Either<NettlespurError, TaskStatus>> {
@@ -178,7 +181,7 @@
     return answer
   }
 
-  /** A status of another fence says nothing of this task but that it is not here. */
+  /** A status with another fence only shows that this task is not on the upstream. */
   #recordStatus(status: TaskStatus): TaskState {
     this.#state = status.fence === this.task.fence ? status.state : 'unknown'
     this.#failure = status.failure
--- a/control/gangs/src/gangOptions.ts
+++ b/control/gangs/src/gangOptions.ts
@@ -1,4 +1,4 @@
-/** What running gangs needs from its surroundings. */
+/** Dependencies and timings of a gang manager. */
 import type { TaskReport } from '@nettlespur/api.schemas'
 import type { ReplicatedLog } from '@nettlespur/control.log'
 import type { StateHolder } from '@nettlespur/control.state'
@@ -11,7 +11,7 @@
   /** How long an upstream holds a task without a renewal. */
   readonly taskLeaseMs: number
   readonly renewTasksEveryMs: number
-  /** Added to a lease's end before its accelerators are handed on. */
+  /** Added to the end of a lease before its accelerators are assigned again. */
   readonly clockDriftMarginMs: number
   /** How long a task may take to stop after it is asked to. */
   readonly stopGraceMs: number
@@ -24,12 +24,12 @@
   holder: StateHolder
   client: UpstreamClient
   timings: GangTimings
-  /** What upstreams announce about their tasks: it wakes a gang before its next renewal is due. */
+  /** Task reports of upstreams, which wake a gang before its next renewal is due. */
   taskReports: Observable<TaskReport>
-  /** Whether an upstream is not heard from although others are. */
+  /** Whether an upstream is silent while others are not. */
   isUpstreamSilent: (upstreamId: string) => boolean
-  /** Emits the id of each upstream of which `isUpstreamSilent` may tell something new. */
+  /** Emits the id of each upstream for which the result of `isUpstreamSilent` may have changed. */
   upstreamChanges: Observable<string>
-  /** Between 0 and 1, for jitter. */
+  /** Returns a number between 0 and 1, for jitter. */
   random: () => number
 }
--- a/control/gangs/src/gangOutcome.ts
+++ b/control/gangs/src/gangOutcome.ts
@@ -1,4 +1,4 @@
-/** How one attempt of a gang went. */
+/** The outcome of one attempt of a gang. */
 import type { JobAnswer } from '@nettlespur/api.schemas'
 import type { TaskFailure } from '@nettlespur/control.state'
 import type { GangMember } from './gangMember.js'
@@ -8,34 +8,34 @@
   readonly parts: JobAnswer['parts']
 }
 
-/** A task failed by itself, a member was lost, or the caller cancelled. */
+/** A task failed on its own, a member was lost, or the caller cancelled the job. */
 export interface GangAborted {
   readonly kind: 'failed' | 'lost' | 'cancelled'
   readonly reason: string
-  /** False where it is certain that no start left. */
+  /** False only if it is certain that no start had an effect. */
   readonly startSent: boolean
-  /** Where a task failed by itself. */
+  /** Set if a task failed on its own. */
   readonly failure?: TaskFailure | undefined
 }
 
-/** The gang makes way for another job and is queued again. */
+/** Queued again, except a job that may have run, is not repeatable and has no checkpoint. */
 export interface GangPreempted {
   readonly kind: 'preempted'
   readonly reason: string
   readonly startSent: boolean
-  /** Undefined where none was to be taken, or a member gave none in time. */
+  /** Undefined if no checkpoint was requested, or not every member took one in time. */
   readonly checkpointId?: string | undefined
 }
 
 export type GangStopped = GangAborted | GangPreempted
 export type GangOutcome = GangFinished | GangStopped
 
-/** A task that fails within this time of its start casts suspicion on its upstream. */
+/** A task that fails within this time of its start counts as a fast failure, which may be due to its upstream. */
 const fastFailureMs = 10_000
 
 /**
- * What the states of the members amount to; undefined while the gang goes on. `ranMs`: since
- * its start, infinite where that is not known.
+ * Derives the outcome of the gang from the states of its members. Returns undefined while the gang runs.
+ * `ranMs` is the time since its start, or infinite if that is not known.
  */
 export function evaluateMembers(
   members: readonly GangMember[],
--- a/control/gangs/src/gangRunner.ts
+++ b/control/gangs/src/gangRunner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs one placed gang from its reservation to its end, as one straight line: reserve all members, commit
- * the start before it is sent, start, renew until the end, collect, commit. Whatever breaks the gang stops
- * all of its members before their accelerators are handed on.
+ * Runs one placed gang as one sequence of steps: reserve all members, commit the start before it is sent,
+ * start, renew until the end, collect the answer, commit the end. If any step fails, all members are stopped
+ * before their accelerators are released.
  */
 import type { Placement } from '@nettlespur/api.schemas'
 import type { Command, CommandResult, JobRecord } from '@nettlespur/control.state'
@@ -19,17 +19,17 @@
 import { waitForWake } from './waitForWake.js'
 
 const firstPollMs = 50
-/** A refused command about the end of a job is chosen anew this often: a cancel may have come between. */
+/** Tries to commit the end of a job: a cancel in between may cause a refusal, so each try chooses anew. */
 const endCommitTriesMax = 3
 
-/** What a gang shares with the others of its manager. */
+/** Dependencies of one runner: all but `wake` are shared by the gangs of a manager. */
 export interface GangContext {
   readonly opts: GangOptions
   readonly retries: RetryBudget
   readonly endedLog: EndedGangLog
-  /** Raised when the job, one of its tasks or one of its upstreams has changed. */
+  /** Incremented when the job, one of its tasks or one of its upstreams has changed. */
   readonly wake: BehaviorSubject<number>
-  /** Ends the run without any further call: the gang goes on under its next leader. */
+  /** Ends the run without further calls; the next leader takes the gang over. */
   readonly signal: AbortSignal
 }
 
@@ -41,7 +41,7 @@
   readonly #members: readonly GangMember[]
   readonly #log: LeaderLog
   readonly #signal: AbortSignal
-  /** When the members were started, where this leader did it. */
+  /** Monotonic time of the start; undefined if another leader committed it. */
   #startedMs: number | undefined
 
   constructor(context: GangContext, job: JobRecord, placement: Placement) {
@@ -56,7 +56,7 @@
     this.#signal = signal
   }
 
-  /** From the reservation on. */
+  /** Runs a newly placed gang. */
   async run(job: JobRecord): Promise<void> {
     const refusal = await this.#reserveAll(job)
     const startFailure = refusal ?? (await this.#commitStart())
@@ -64,14 +64,14 @@
     await this.#stopAndCommitEnd(outcome)
   }
 
-  /** Takes over a gang that another leader placed: what has not started is undone, what has goes on. */
+  /** Takes over a placed gang: stops it if it has not started, else completes a pending stop or continues it. */
   async resume(job: JobRecord): Promise<void> {
     for (const member of this.#members) member.adopt()
     const outcome = (await this.#completePendingStop(job)) ?? (await this.#renewUntilEnd())
     await this.#stopAndCommitEnd(outcome)
   }
 
-  /** What another leader left undone; undefined where the gang is to go on. */
+  /** Completes a stop or a preemption that is pending. Returns undefined if the gang is to run on. */
   async #completePendingStop(job: JobRecord): Promise<GangStopped | undefined> {
     const startSent = job.startCommitted
     if (startSent && job.preemption !== undefined) return this.#preempt(job)
@@ -98,7 +98,7 @@
     return undefined
   }
 
-  /** Committed for every job, repeatable or not, so that a later leader knows what may have run. */
+  /** Commits the start of every job, repeatable or not, so that a later leader knows what may have run. */
   async #commitStart(): Promise<GangStopped | undefined> {
     const { fence } = this.#placement
     const at = this.#opts.clock.now().toISOString()
@@ -111,6 +111,7 @@
     return (job && this.#createStopOutcome(job, false)) ?? lost
   }
 
+  /** Starts the members and renews their leases until the gang has an outcome. */
   async #renewUntilEnd(): Promise<GangOutcome> {
     const { clock, timings } = this.#opts
     let pauseMs = firstPollMs
@@ -133,7 +134,7 @@
     }
   }
 
-  /** Stops what is left, then commits how the job goes on. */
+  /** Stops all members unless the gang has finished, then commits the end or the requeueing of the job. */
   async #stopAndCommitEnd(outcome: GangOutcome): Promise<void> {
     if (outcome.kind === 'lost') await this.#log.confirmLeadership()
     const finalOutcome = outcome.kind === 'finished' ? outcome : await this.#stopAll(outcome)
@@ -171,7 +172,7 @@
     })
   }
 
-  /** A gang stopped at request that proves to have finished in the meantime gives its answer after all. */
+  /** Stops all members. A cancelled or preempted gang that has finished in the meantime still gives its answer. */
   async #stopAll(outcome: GangStopped): Promise<GangOutcome> {
     const stops = await Promise.all(this.#members.map((member) => member.stop(this.#signal)))
     const requested = outcome.kind === 'cancelled' || outcome.kind === 'preempted'
@@ -179,13 +180,13 @@
     return collectAnswer(this.#opts, this.#members, this.#signal)
   }
 
-  /** The job as it stands, while this placement is still its own. */
+  /** Returns the current job, or undefined if it has ended or has another placement. */
   #readJob(): JobRecord | undefined {
     const job = this.#opts.holder.state.getLiveJob(this.#jobId)
     return job?.placement?.fence === this.#placement.fence ? job : undefined
   }
 
-  /** Whether the job is to be cancelled or to make way; undefined where it goes on. */
+  /** Checks for a cancellation or preemption of the job. Returns undefined if it is to run on. */
   async #checkStopRequest(): Promise<GangStopped | undefined> {
     const startSent = this.#members.some((member) => member.mayHaveSentStart)
     const job = this.#readJob()
@@ -203,7 +204,7 @@
   }
 
   /**
-   * A started gang makes way. Where no checkpoint could be taken, a job that is not repeatable runs on:
+   * Preempts a started gang. If no checkpoint could be taken, a job that is not repeatable runs on, as
    * stopping it would lose it.
    */
   async #preempt({ request, preemption }: JobRecord): Promise<GangStopped | undefined> {
--- a/control/gangs/src/leaderLog.ts
+++ b/control/gangs/src/leaderLog.ts
@@ -1,4 +1,4 @@
-/** What a running gang asks of the log: tried again until it is done, or this leadership ends. */
+/** Access to the replicated log for a running gang: retries until it succeeds or this leadership ends. */
 import type { Command, CommandResult } from '@nettlespur/control.state'
 import type { GangOptions } from './gangOptions.js'
 
@@ -29,9 +29,9 @@
   }
 
   /**
-   * A leader that is cut off may be the one to have lost its way: it stops nothing that another may run.
-   * Until it is sure, nothing is renewed either, so that the gang ends with its leases at the latest.
-   * Rejects when the leadership ends.
+   * Waits until a quorum confirms that this instance still leads: a leader that is cut off must not stop a
+   * gang that another leader may be running. Meanwhile this instance renews no lease of the gang, so that the
+   * gang ends when its leases expire at the latest. Rejects when the leadership ends.
    */
   async confirmLeadership(): Promise<void> {
     while ((await this.#opts.log.readBarrier().run()).isLeft()) {
--- a/control/gangs/src/retryBudget.ts
+++ b/control/gangs/src/retryBudget.ts
@@ -1,11 +1,11 @@
 /**
- * Spreads retries out, so that they never become a storm: each workspace retries at the rate of its
- * contract, and the cluster at one rate for all. Soft state of the leader.
+ * Limits the rate of retries to prevent retry storms: each workspace retries at the rate of its contract, and
+ * all workspaces together at the rate of the cluster. Soft state of the leader.
  */
 import type { Clock } from '@nettlespur/core.clock'
 
 const clusterRetriesPerSecond = 50
-/** Retries of this much time may come at once. */
+/** Retries worth this much time may run without delay. */
 const burstMs = 1000
 
 export class RetryBudget {
@@ -17,7 +17,7 @@
     this.#clock = clock
   }
 
-  /** Takes one retry and tells how long it must wait, in milliseconds. */
+  /** Takes one retry and returns its delay in milliseconds. */
   take(workspace: string, retriesPerSecond: number): number {
     const nowMs = this.#clock.monotonicMs()
     const workspaceSpentThroughMs = spendRetry(
@@ -39,7 +39,7 @@
   }
 }
 
-/** The time through which the budget is spent, after one more retry. */
+/** Returns the time up to which the budget is spent after one more retry. */
 function spendRetry(spentThroughMs: number, nowMs: number, perSecond: number): number {
   const costMs = perSecond === 0 ? 0 : 1000 / perSecond
   return Math.max(spentThroughMs, nowMs) + costMs
--- a/control/gangs/src/takeCheckpoint.ts
+++ b/control/gangs/src/takeCheckpoint.ts
@@ -1,13 +1,13 @@
-/** Takes a checkpoint of a whole gang: of every member or of none, within a bounded time. */
+/** Takes a checkpoint of a whole gang within a bounded time; it is valid only if every member took one. */
 import type { GangMember } from './gangMember.js'
 import type { GangOptions } from './gangOptions.js'
 
-/** Well under a task lease, as nothing is renewed meanwhile. */
+/** Well below the task lease, as no lease is renewed meanwhile. */
 export const checkpointTimeoutMs = 5000
-/** A gang's checkpoint names those of its members in rank order; any split of the gang can read it. */
+/** The checkpoint id of a gang joins those of its members in rank order; any split of the gang can read it. */
 const separator = ','
 
-/** Undefined where a member gave none in time. */
+/** Returns undefined if a member took no checkpoint in time. */
 export async function takeCheckpoint(
   opts: GangOptions,
   members: readonly GangMember[],
--- a/control/gangs/src/waitForWake.ts
+++ b/control/gangs/src/waitForWake.ts
@@ -1,4 +1,4 @@
-/** A sleep that ends early on an event or an abort. */
+/** Sleeps until `durationMs` has passed, `wakes` emits or `signal` is aborted. */
 import type { Clock } from '@nettlespur/core.clock'
 import type { Observable } from 'rxjs'
 
--- a/control/gangs/test/createGangFixture.ts
+++ b/control/gangs/test/createGangFixture.ts
@@ -1,4 +1,4 @@
-/** Gangs of two members over fake upstreams, on a clock that stands still until it is moved. */
+/** Fixture for gangs of two members on fake upstreams, with a clock that advances only when a test advances it. */
 import type { JobRequest, TaskReport } from '@nettlespur/api.schemas'
 import { createContract, createJobRequest, FakeUpstreams } from '@nettlespur/control.fakes'
 import { readJob, StateHolder, type Command, type JobRecord } from '@nettlespur/control.state'
@@ -15,7 +15,7 @@
   clockDriftMarginMs: 500,
   stopGraceMs: 2000,
 }
-/** Longer than any lease with its margin. */
+/** Longer than any lease with its clock drift margin. */
 export const allLeasesExpiredMs = 40_000
 
 export async function createGangFixture() {
@@ -62,7 +62,7 @@
   return readJob(submitted).unsafeCoerce().jobId
 }
 
-/** Places a queued job over two upstreams, at addresses `a0` and `a1`. */
+/** Places a queued job on two upstreams, at addresses `a0` and `a1`. */
 export async function placeGang(
   { clock, log }: GangFixture,
   jobId: string,
@@ -108,7 +108,7 @@
 ): Promise<void> {
   const at = clock.now().toISOString()
   const fence = placement?.fence ?? 0
-  const reason = 'makes way'
+  const reason = 'preempted by the test'
   const command: Command = { type: 'job.preempt', at, jobId, fence, withCheckpoint, reason }
   await unwrap(log.propose(command))
 }
--- a/control/gangs/test/gangManager.test.ts
+++ b/control/gangs/test/gangManager.test.ts
@@ -9,7 +9,7 @@
   timings,
 } from './createGangFixture.js'
 
-test('a gang whose members all finish gives its whole answer in rank order', async (t) => {
+test('a gang whose members have all finished gives their answers in rank order', async (t) => {
   const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   t.deepEqual(gangs.client.started, [first, second])
@@ -37,7 +37,7 @@
   t.regex(readState(gangs, job)?.reason ?? '', /u1 did not reserve/)
 })
 
-test('a reservation whose answer is lost keeps its accelerators until its lease must be over', async (t) => {
+test('a reservation whose answer is lost keeps its accelerators until its lease must have expired', async (t) => {
   const gangs = await createGangFixture()
   gangs.client.mute.add('a1')
   const { job } = await startGang(gangs, {})
@@ -49,7 +49,7 @@
   t.deepEqual(gangs.client.listHolding(), [])
 })
 
-test('a lost member stops all others; a repeatable job is tried again', async (t) => {
+test('the loss of a member stops all others, and a repeatable job is queued again', async (t) => {
   const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: true })
   gangs.client.forget('a1')
@@ -58,7 +58,7 @@
   t.like(readState(gangs, job), { state: 'queued', attempts: 1, placement: undefined })
 })
 
-test('accelerators of a silent upstream are free only after its lease and the drift margin', async (t) => {
+test('accelerators of an unreachable upstream are free only after the lease and the drift margin', async (t) => {
   const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: true })
   gangs.client.unreachable.add('a1')
@@ -78,7 +78,7 @@
   t.is(gangs.client.started.length, 2)
 })
 
-test('a job that is not repeatable goes back to the queue where no start can have left', async (t) => {
+test('a job that is not repeatable goes back to the queue if no start can have been sent', async (t) => {
   const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type !== 'job.started') return
@@ -90,7 +90,7 @@
   t.deepEqual(gangs.client.started, [])
 })
 
-test('a task that fails by itself ends a job that is not repeatable, with its reason', async (t) => {
+test('a task that fails on its own ends a job that is not repeatable, with the reason of the failure', async (t) => {
   const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   gangs.client.fail(second, 'out of memory')
@@ -100,7 +100,7 @@
   t.is(gangs.client.stateOf(first), 'stopped')
 })
 
-test('a restart before the start was committed starts nothing and requeues the job', async (t) => {
+test('a new leader requeues a job whose start was not committed, and starts nothing', async (t) => {
   const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type === 'job.started') throw new NettlespurError('no-quorum', 'cut off')
@@ -115,7 +115,7 @@
   t.deepEqual(gangs.client.started, [])
 })
 
-test('a running gang is taken over by the next leader, not started again', async (t) => {
+test('the next leader takes over a running gang and does not start it again', async (t) => {
   const gangs = await createGangFixture()
   const { job, manager, first, second } = await startGang(gangs, { repeatable: false })
   await manager.stop()
@@ -127,7 +127,7 @@
   t.is(readState(gangs, job)?.state, 'finished')
 })
 
-test('a restart between the start and its loss never runs an unrepeatable job twice', async (t) => {
+test('a job that is not repeatable is not run again if its tasks are lost while the leader changes', async (t) => {
   const gangs = await createGangFixture()
   const { job, manager } = await startGang(gangs, { repeatable: false })
   await manager.stop()
@@ -139,7 +139,7 @@
   t.is(gangs.client.started.length, 2)
 })
 
-test('a start whose answers are lost is not repeated where the task has begun', async (t) => {
+test('a start whose answer is lost is not repeated once the task runs', async (t) => {
   const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type === 'job.started') gangs.client.mute.add('a0')
@@ -174,7 +174,7 @@
   t.is(readState(gangs, job)?.state, 'finished')
 })
 
-test('a gang without contact at its leader stops by itself at the end of its leases', async (t) => {
+test('a gang whose leader is gone stops when its leases expire', async (t) => {
   const gangs = await createGangFixture()
   const { manager } = await startGang(gangs, {})
   await manager.stop()
--- a/control/gangs/test/gangProperties.test.ts
+++ b/control/gangs/test/gangProperties.test.ts
@@ -74,7 +74,7 @@
 )
 type Step = typeof steps extends fc.Arbitrary<infer T> ? T : never
 
-/** Gangs with a placer that takes the first free accelerators, and the leader that runs them. */
+/** Runs gangs under one leader and places them on the first free accelerators. */
 class GangSimulation {
   readonly gangs: GangFixture
   #manager: ReturnType<GangFixture['createManager']>
@@ -126,7 +126,7 @@
     if (!log.cutOff) await this.#placeAll()
   }
 
-  /** All faults end, and whatever is under way comes to its end or goes on. */
+  /** Ends all faults, then advances the clock beyond all leases, so that pending work ends or continues. */
   async healAndSettle(): Promise<void> {
     this.#heal()
     await this.gangs.clock.advance(allLeasesExpiredMs)
@@ -139,7 +139,7 @@
     log.cutOff = false
   }
 
-  /** The former leader lets go of its gangs wherever they stand, and another takes them over. */
+  /** Ends the runners of the former leader at any point of their work and has another take their gangs over. */
   async #changeLeader(): Promise<void> {
     const former = this.#manager
     await former.stop()
@@ -180,7 +180,7 @@
   return at.replace('a', 'u')
 }
 
-/** The first free accelerators, on as many upstreams as the gang has members. */
+/** Picks the first free accelerator on each of as many upstreams as the gang has members. */
 function pickFreeAccelerators(jobs: readonly JobRecord[]) {
   const members = jobs.flatMap((job) => job.placement?.members ?? [])
   const free = addresses.flatMap((at) => {
@@ -193,12 +193,13 @@
   return free.length < gangSize ? undefined : free.slice(0, gangSize)
 }
 
-/** What must hold at every moment; undefined where it does. */
+/** Checks the invariants that hold at all times. Returns the violation, or undefined if there is none. */
 function findViolation({ client, holder }: GangFixture): string | undefined {
   const held = new Set<string>()
   for (const { address: at, acceleratorIndexes, taskId } of client.listHolding()) {
     for (const index of acceleratorIndexes) {
-      if (held.has(`${at}/${index}`)) return `${taskId}: ${at}/${index} was handed on too early`
+      if (held.has(`${at}/${index}`))
+        return `${taskId}: ${at}/${index} was assigned again too early`
       held.add(`${at}/${index}`)
     }
   }
@@ -207,7 +208,7 @@
   for (const taskId of client.started) {
     const [jobId = '', attempt = ''] = taskId.split('.')
     const job = state.getJob('demo', jobId)
-    if (job?.state === 'cancelled' && job.startedAt === undefined) return `${jobId} did run`
+    if (job?.state === 'cancelled' && job.startedAt === undefined) return `${jobId} was started`
     const isResumed = client.reservations.get(taskId)?.checkpointId !== undefined
     if (job?.request.repeatable === true || isResumed) continue
     attempts.set(jobId, (attempts.get(jobId) ?? new Set()).add(attempt))
@@ -216,7 +217,7 @@
   return undefined
 }
 
-/** What must hold once nothing is broken any more. */
+/** Checks that, once all faults have ended, every gang is held in full or not at all. */
 function findPartialGang({ client, holder }: GangFixture): string | undefined {
   const holding = new Set(client.listHolding().map((task) => task.taskId))
   for (const job of holder.state.listLiveJobs()) {
@@ -229,7 +230,7 @@
   return orphan === undefined ? undefined : `${orphan} belongs to no gang`
 }
 
-test('whatever fails, gangs run whole or not at all, no accelerator is handed on early, and none runs twice', async (t) => {
+test('under any faults, gangs run in full or not at all, accelerators are not reassigned early, and no unrepeatable job runs twice', async (t) => {
   const property = fc.asyncProperty(
     fc.array(steps, { minLength: 5, maxLength: 40 }),
     async (list) => {
--- a/control/gangs/test/memoryLog.ts
+++ b/control/gangs/test/memoryLog.ts
@@ -1,4 +1,4 @@
-/** A log that commits at once, in memory. A test may let a commit fail or take the lead away. */
+/** A log that commits at once, in memory. A test can make commits fail or cut the log off from its quorum. */
 import { ReplicatedLog, type Leadership, type LogDescription } from '@nettlespur/control.log'
 import type { Command, CommandResult, StateHolder } from '@nettlespur/control.state'
 import { NettlespurError, tryAsync } from '@nettlespur/core.errors'
@@ -10,7 +10,7 @@
   readonly committed: Command[] = []
   /** Runs before each commit; may throw. */
   beforeCommit: (command: Command) => void = () => undefined
-  /** While true, nothing is committed. */
+  /** While true, commits and read barriers fail with `no-quorum`. */
   cutOff = false
   readonly #holder: StateHolder
 
--- a/control/gangs/test/preemption.test.ts
+++ b/control/gangs/test/preemption.test.ts
@@ -10,7 +10,7 @@
   timings,
 } from './createGangFixture.js'
 
-test('a preempted gang stops whole at once and is queued again, as if it had not failed', async (t) => {
+test('all members of a preempted gang stop at once, and its job is queued again without a failed attempt', async (t) => {
   const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: true })
   const preemptedAt = gangs.clock.now().toISOString()
@@ -24,7 +24,7 @@
   t.is(readState(gangs, job)?.retryAt, preemptedAt)
 })
 
-test('the next attempt of a checkpointed gang goes on from the checkpoint of all its members', async (t) => {
+test('the next attempt of a checkpointed gang resumes from the checkpoints of all its members', async (t) => {
   const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false, checkpointable: true })
   await preempt(gangs, job, true)
@@ -37,7 +37,7 @@
   t.is(gangs.client.reservations.get(taskId)?.checkpointId, `of-${first},of-${second}`)
 })
 
-test('a job that is not repeatable runs on where no checkpoint of the whole gang is taken', async (t) => {
+test('a job that is not repeatable runs on if a member takes no checkpoint', async (t) => {
   const gangs = await createGangFixture()
   gangs.client.refusingCheckpoints.add('a1')
   const { job, first, second } = await startGang(gangs, { repeatable: false, checkpointable: true })
@@ -60,7 +60,7 @@
   t.is(readState(gangs, job)?.state, 'running')
 })
 
-test('a victim that ignores its stop keeps its accelerators until its lease must be over', async (t) => {
+test('a preempted gang with a member that ignores its stop keeps its accelerators until the lease must have expired', async (t) => {
   const gangs = await createGangFixture()
   gangs.client.ignoringStops.add('a1')
   const { job, second } = await startGang(gangs, { repeatable: true })
@@ -85,7 +85,7 @@
   t.like(readState(gangs, job), { state: 'queued', checkpointId: `of-${first},of-${second}` })
 })
 
-test('a cancelled victim ends cancelled, not queued', async (t) => {
+test('a job that is cancelled during its preemption ends as cancelled and is not queued', async (t) => {
   const gangs = await createGangFixture()
   const { job, manager } = await startGang(gangs, { repeatable: true })
   await manager.stop()
@@ -96,7 +96,7 @@
   t.is(readState(gangs, job)?.state, 'cancelled')
 })
 
-test('a silent upstream whose calls fail is found dead before its lease ends', async (t) => {
+test('a gang is stopped before its lease ends if an upstream is silent and calls to it fail', async (t) => {
   const gangs = await createGangFixture()
   const { first } = await startGang(gangs, { repeatable: true })
   gangs.client.unreachable.add('a1')
@@ -108,7 +108,7 @@
   t.is(gangs.client.stateOf(first), 'stopped')
 })
 
-test('a wave of cancellations leaves a bounded number of lines, and one that counts the rest', async (t) => {
+test('many cancellations write a bounded number of log lines and one that counts the rest', async (t) => {
   const gangs = await createGangFixture()
   const manager = gangs.createManager()
   const started = []
