--- a/control/fakes/src/fakeUpstreams.ts
+++ b/control/fakes/src/fakeUpstreams.ts
@@ -46,30 +46,30 @@
   }
 
   /** The state of a task now. */
-  stateOf(taskId: string): TaskState | undefined {
+  getState(taskId: string): TaskState | undefined {
     const task = this.#tasks.get(taskId)
-    if (task !== undefined) this.#expire(task)
+    if (task !== undefined) this.#expireLease(task)
     return task?.state
   }
 
   /** Tasks that hold accelerators now. */
   listHolding(): readonly FakeTask[] {
     return [...this.#tasks.values()].filter((task) => {
-      this.#expire(task)
+      this.#expireLease(task)
       return task.state === 'reserved' || task.state === 'running'
     })
   }
 
   finish(taskId: string, answer: string): void {
-    this.#end(taskId, 'finished', (task) => (task.answer = answer))
+    this.#endTask(taskId, 'finished', (task) => (task.answer = answer))
   }
 
   fail(taskId: string, failure: string): void {
-    this.#end(taskId, 'failed', (task) => (task.failure = failure))
+    this.#endTask(taskId, 'failed', (task) => (task.failure = failure))
   }
 
   /** The upstream restarts: its tasks end, and it has never heard of them. */
-  forget(address: string): void {
+  restartUpstream(address: string): void {
     for (const task of this.#tasks.values()) {
       if (task.address === address) this.#tasks.delete(task.taskId)
     }
@@ -80,8 +80,8 @@
     taskId: string,
     body: ReserveTask,
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#answer(address, () => {
-      if (this.refusing.has(address)) return refuse('upstream-refused')
+    return this.#respond(address, () => {
+      if (this.refusing.has(address)) return createError('upstream-refused')
       const known = this.#tasks.get(taskId)
       if (known !== undefined) return Right(toStatus(known))
       const { jobId, fence, acceleratorIndexes, leaseMs } = body
@@ -110,14 +110,14 @@
         if (this.instantAnswer !== undefined) this.finish(task.taskId, this.instantAnswer)
         return Right(toStatus(task))
       }
-      return task.state === 'running' ? Right(toStatus(task)) : refuse('upstream-refused')
+      return task.state === 'running' ? Right(toStatus(task)) : createError('upstream-refused')
     })
   }
 
   checkpoint(reference: TaskReference): EitherAsync<NettlespurError, TaskStatus> {
     return this.#withTask(reference, (task) => {
       if (task.state !== 'running' || this.refusingCheckpoints.has(reference.address)) {
-        return refuse('upstream-refused')
+        return createError('upstream-refused')
       }
       return Right({ ...toStatus(task), checkpointId: `of-${task.taskId}` })
     })
@@ -131,9 +131,9 @@
     { address, taskId, fence }: TaskReference,
     { jobId }: { jobId: string },
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#answer(address, () => {
+    return this.#respond(address, () => {
       const leaseEndMs = 0
-      const never = {
+      const neverRun = {
         address,
         taskId,
         jobId,
@@ -142,9 +142,13 @@
         acceleratorIndexes: [],
         answer: '',
       }
-      const task = this.#tasks.get(taskId) ?? { ...never, state: 'never-runs', failure: undefined }
+      const task = this.#tasks.get(taskId) ?? {
+        ...neverRun,
+        state: 'never-runs',
+        failure: undefined,
+      }
       this.#tasks.set(taskId, task)
-      this.#expire(task)
+      this.#expireLease(task)
       if (task.state === 'reserved') task.state = 'never-runs'
       if (task.state === 'running' && !this.ignoringStops.has(address)) task.state = 'stopped'
       return Right(toStatus(task))
@@ -152,22 +156,22 @@
   }
 
   renew(address: string, { leases }: RenewLeases): EitherAsync<NettlespurError, TaskStatus[]> {
-    return this.#answer(address, () => Right(leases.map((lease) => this.#renewOne(lease))))
+    return this.#respond(address, () => Right(leases.map((lease) => this.#renewOne(lease))))
   }
 
   getTask(address: string, taskId: string): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#answer(address, () => Right(this.#describe(taskId)))
+    return this.#respond(address, () => Right(this.#describe(taskId)))
   }
 
   getAnswer(reference: TaskReference): EitherAsync<NettlespurError, Buffer> {
     return this.#withTask(reference, (task) => {
       return task.state === 'finished'
         ? Right(Buffer.from(task.answer))
-        : refuse('upstream-refused')
+        : createError('upstream-refused')
     })
   }
 
-  #end(taskId: string, state: TaskState, change: (task: FakeTask) => void): void {
+  #endTask(taskId: string, state: TaskState, change: (task: FakeTask) => void): void {
     const task = this.#tasks.get(taskId)
     if (task?.state !== 'running') throw new Error(`${taskId} does not run`)
     task.state = state
@@ -177,7 +181,7 @@
   #renewOne(lease: RenewLeases['leases'][number]): TaskStatus {
     const task = this.#tasks.get(lease.taskId)
     if (task === undefined) return this.#describe(lease.taskId)
-    this.#expire(task)
+    this.#expireLease(task)
     task.leaseEndMs = this.#clock.monotonicMs() + lease.leaseMs
     return toStatus(task)
   }
@@ -187,7 +191,7 @@
     return task === undefined ? { taskId, fence: 0, state: 'unknown' } : toStatus(task)
   }
 
-  #expire(task: FakeTask): void {
+  #expireLease(task: FakeTask): void {
     const holds = task.state === 'reserved' || task.state === 'running'
     if (holds && this.#clock.monotonicMs() >= task.leaseEndMs) task.state = 'lease-expired'
   }
@@ -196,22 +200,22 @@
     { address, taskId }: TaskReference,
     act: (task: FakeTask) => Either<NettlespurError, T>,
   ): EitherAsync<NettlespurError, T> {
-    return this.#answer(address, () => {
+    return this.#respond(address, () => {
       const task = this.#tasks.get(taskId)
-      if (task === undefined) return refuse('upstream-refused')
-      this.#expire(task)
+      if (task === undefined) return createError('upstream-refused')
+      this.#expireLease(task)
       return act(task)
     })
   }
 
-  #answer<T>(
+  #respond<T>(
     address: string,
     act: () => Either<NettlespurError, T>,
   ): EitherAsync<NettlespurError, T> {
     return EitherAsync.fromPromise(() => {
-      if (this.unreachable.has(address)) return Promise.resolve(refuse<T>('unreachable'))
+      if (this.unreachable.has(address)) return Promise.resolve(createError<T>('unreachable'))
       const acted = act()
-      return Promise.resolve(this.mute.has(address) ? refuse<T>('outcome-unknown') : acted)
+      return Promise.resolve(this.mute.has(address) ? createError<T>('outcome-unknown') : acted)
     })
   }
 }
@@ -220,6 +224,6 @@
   return { taskId, fence, state, failure }
 }
 
-function refuse<T>(kind: ErrorKind): Either<NettlespurError, T> {
+function createError<T>(kind: ErrorKind): Either<NettlespurError, T> {
   return Left(new NettlespurError(kind, `the fake answers ${kind}`))
 }
--- a/control/gangs/test/gangProperties.test.ts
+++ b/control/gangs/test/gangProperties.test.ts
@@ -104,7 +104,7 @@
         await this.#withJob(step.index, (job) => preempt(this.gangs, job, step.withCheckpoint))
         break
       case 'restart':
-        client.forget(step.address)
+        client.restartUpstream(step.address)
         break
       case 'silence':
         silentUpstreams.add(toUpstreamId(step.address))
@@ -166,7 +166,7 @@
   #endTask(how: 'finish' | 'fail', index: number, rank: number): void {
     const jobs = this.gangs.holder.state.listLiveJobs()
     const taskId = jobs[index % Math.max(1, jobs.length)]?.placement?.members[rank]?.taskId ?? ''
-    if (this.gangs.client.stateOf(taskId) === 'running') this.gangs.client[how](taskId, 'whole')
+    if (this.gangs.client.getState(taskId) === 'running') this.gangs.client[how](taskId, 'whole')
   }
 
   async #withJob(index: number, run: (job: JobRecord) => Promise<void>): Promise<void> {
@@ -222,7 +222,7 @@
   const holding = new Set(client.listHolding().map((task) => task.taskId))
   for (const job of holder.state.listLiveJobs()) {
     const taskIds = (job.placement?.members ?? []).map((member) => member.taskId)
-    const isWhole = taskIds.every((id) => holding.has(id) || client.stateOf(id) === 'finished')
+    const isWhole = taskIds.every((id) => holding.has(id) || client.getState(id) === 'finished')
     if (!isWhole) return `${job.jobId} is ${job.state} with a part of its gang`
     for (const taskId of taskIds) holding.delete(taskId)
   }
--- a/control/gangs/test/preemption.test.ts
+++ b/control/gangs/test/preemption.test.ts
@@ -17,7 +17,7 @@
   await preempt(gangs, job, false)
   await gangs.clock.advance(1)
   t.deepEqual(
-    [first, second].map((id) => gangs.client.stateOf(id)),
+    [first, second].map((id) => gangs.client.getState(id)),
     ['stopped', 'stopped'],
   )
   t.like(readState(gangs, job), { state: 'queued', failedAttempts: 0, placement: undefined })
@@ -44,7 +44,7 @@
   await preempt(gangs, job, true)
   await gangs.clock.advance(allLeasesExpiredMs)
   t.deepEqual(
-    [first, second].map((id) => gangs.client.stateOf(id)),
+    [first, second].map((id) => gangs.client.getState(id)),
     ['running', 'running'],
   )
   t.like(readState(gangs, job), { state: 'running', preemption: undefined })
@@ -56,7 +56,7 @@
   await preempt(gangs, job, false)
   await preempt(gangs, job, true)
   await gangs.clock.advance(allLeasesExpiredMs)
-  t.is(gangs.client.stateOf(first), 'running')
+  t.is(gangs.client.getState(first), 'running')
   t.is(readState(gangs, job)?.state, 'running')
 })
 
@@ -66,10 +66,10 @@
   const { job, second } = await startGang(gangs, { repeatable: true })
   await preempt(gangs, job, false)
   await gangs.clock.advance(timings.taskLeaseMs - 1000)
-  t.is(gangs.client.stateOf(second), 'running')
+  t.is(gangs.client.getState(second), 'running')
   t.truthy(readState(gangs, job)?.placement)
   await gangs.clock.advance(timings.clockDriftMarginMs + 1000 + 300)
-  t.is(gangs.client.stateOf(second), 'lease-expired')
+  t.is(gangs.client.getState(second), 'lease-expired')
   t.is(readState(gangs, job)?.state, 'queued')
 })
 
@@ -81,7 +81,7 @@
   await preempt(gangs, job, true)
   gangs.createManager().recover()
   await gangs.clock.advance(1)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
   t.like(readState(gangs, job), { state: 'queued', checkpointId: `of-${first},of-${second}` })
 })
 
@@ -101,11 +101,11 @@
   const { first } = await startGang(gangs, { repeatable: true })
   gangs.client.unreachable.add('a1')
   await gangs.clock.advance(timings.renewTasksEveryMs)
-  t.is(gangs.client.stateOf(first), 'running')
+  t.is(gangs.client.getState(first), 'running')
   gangs.silentUpstreams.add('u1')
   gangs.upstreamChanges.next('u1')
   await gangs.clock.advance(1000)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
 })
 
 test('many cancellations write a bounded number of log lines and one that counts the rest', async (t) => {
--- a/control/service/test/controlNode.test.ts
+++ b/control/service/test/controlNode.test.ts
@@ -27,7 +27,7 @@
   await unwrap(node.node.announce({ items: [{ upstreamId: 'u1', announcement }] }))
   const jobId = await submit(node, { gang: { accelerators: 4, adjacency: 'upstream' } })
   const taskId = `${jobId}.1.0`
-  await runUntil(node, () => node.client.stateOf(taskId) === 'running')
+  await runUntil(node, () => node.client.getState(taskId) === 'running')
   node.client.finish(taskId, 'the answer')
   await runUntil(node, () => node.holder.state.getLiveJob(jobId) === undefined)
   const outcome = await unwrap(node.node.awaitAnswer({ workspace: 'demo', jobId, waitMs: 1000 }))
@@ -135,7 +135,7 @@
   await unwrap(node.node.applyContract(createContractChange('one', 0)))
   await unwrap(node.node.announce({ items: [{ upstreamId: 'u1', announcement }] }))
   const jobId = await submit(node, {})
-  await runUntil(node, () => node.client.stateOf(`${jobId}.1.0`) === 'running')
+  await runUntil(node, () => node.client.getState(`${jobId}.1.0`) === 'running')
   const waiting = unwrap(node.node.awaitAnswer({ workspace: 'demo', jobId, waitMs: 60_000 }))
   const leaderAddress = '127.0.0.1:4'
   node.log.leadership.next({ isLeader: false, leaderId: 'c2', leaderAddress, term: 2 })
@@ -143,5 +143,5 @@
   const refused = (await node.node.getJob({ workspace: 'demo', jobId }).run()).extract()
   t.like(refused, { kind: 'not-leader', hint: `ask ${leaderAddress}` })
   await node.clock.advance(timings.taskLeaseMs + timings.renewTasksEveryMs)
-  t.is(node.client.stateOf(`${jobId}.1.0`), 'lease-expired')
+  t.is(node.client.getState(`${jobId}.1.0`), 'lease-expired')
 })
--- a/control/service/test/placementLoop.test.ts
+++ b/control/service/test/placementLoop.test.ts
@@ -45,12 +45,12 @@
 test('urgent work runs within a second of its submission if a running job can be preempted', async (t) => {
   const { node } = await startScripted(t)
   const victim = await submit(node, { gang, repeatable: true })
-  await runUntil(node, () => node.client.stateOf(`${victim}.1.0`) === 'running')
+  await runUntil(node, () => node.client.getState(`${victim}.1.0`) === 'running')
   const submittedMs = node.clock.monotonicMs()
   const urgent = await submit(node, { gang, urgency: 'urgent' })
-  await runUntil(node, () => node.client.stateOf(`${urgent}.1.0`) === 'running')
+  await runUntil(node, () => node.client.getState(`${urgent}.1.0`) === 'running')
   t.true(node.clock.monotonicMs() - submittedMs < 1000)
-  t.is(node.client.stateOf(`${victim}.1.0`), 'stopped')
+  t.is(node.client.getState(`${victim}.1.0`), 'stopped')
   t.like(node.holder.state.getLiveJob(victim), { state: 'queued', failedAttempts: 0 })
   const lines = node.lines.filter((line) => line.includes('event=placement.preempted'))
   t.is(lines.length, 1)
@@ -61,12 +61,12 @@
   const half = { accelerators: 4, adjacency: 'upstream' as const }
   const moves = await submit(node, { gang: half, repeatable: true })
   const stays = await submit(node, { gang: half, repeatable: false })
-  const isRunning = (taskId: string) => node.client.stateOf(taskId) === 'running'
+  const isRunning = (taskId: string) => node.client.getState(taskId) === 'running'
   await runUntil(node, () => [moves, stays].every((id) => isRunning(`${id}.1.0`)))
   await announce(node, 'u2', 'ready')
   await announce(node, 'u1', 'leaving')
   await runUntil(node, () => isRunning(`${moves}.2.0`))
-  t.is(node.client.stateOf(`${moves}.1.0`), 'stopped')
+  t.is(node.client.getState(`${moves}.1.0`), 'stopped')
   t.true(isRunning(`${stays}.1.0`))
 })
 
@@ -94,7 +94,7 @@
 test('an explanation names the requested shape, the holders of the accelerators and the jobs ahead', async (t) => {
   const { node } = await startScripted(t)
   const holder = await submit(node, { gang, repeatable: true })
-  await runUntil(node, () => node.client.stateOf(`${holder}.1.0`) === 'running')
+  await runUntil(node, () => node.client.getState(`${holder}.1.0`) === 'running')
   const ahead = await submit(node, { gang })
   const jobId = await submit(node, { gang })
   await runUntil(node, () => node.lines.some((line) => line.includes(`jobId=${jobId} reason=`)))
