--- a/control/fakes/src/examples.ts
+++ b/control/fakes/src/examples.ts
@@ -1,4 +1,4 @@
-/** Examples of contracts and upstreams by the name that a test of control varies. */
+/** Sample contracts and upstreams for tests of control, identified by workspace or upstream id. */
 import {
   createContract as createSample,
   createUpstreamView as createView,
--- a/control/fakes/src/fakeUpstreams.ts
+++ b/control/fakes/src/fakeUpstreams.ts
@@ -1,6 +1,7 @@
 /**
- * Upstreams in memory that keep to the task protocol: fences, leases, idempotent calls. Tests break them:
- * an address may refuse reservations, be unreachable, or take calls without ever answering them.
+ * In-memory upstreams with the states, leases and idempotent calls of the task protocol. A status carries the
+ * fence of its task, but calls are not checked against it. Tests inject faults by address: an upstream can
+ * refuse reservations or checkpoints, be unreachable, lose its answers, or ignore stops.
  */
 import type { RenewLeases, ReserveTask, TaskState, TaskStatus } from '@nettlespur/api.schemas'
 import type { Clock } from '@nettlespur/core.clock'
@@ -23,19 +24,19 @@
 export class FakeUpstreams extends UpstreamClient {
   /** Addresses that refuse reservations. */
   readonly refusing = new Set<string>()
-  /** Addresses no byte reaches. */
+  /** Addresses that no call reaches. */
   readonly unreachable = new Set<string>()
-  /** Addresses that act on calls, but whose answers are lost. */
+  /** Addresses that execute calls but whose answers are lost. */
   readonly mute = new Set<string>()
-  /** Addresses that go on running a task that is to stop, until its lease ends. */
+  /** Addresses that keep running a stopped task until its lease expires. */
   readonly ignoringStops = new Set<string>()
-  /** Addresses that take no checkpoint. */
+  /** Addresses that refuse to take checkpoints. */
   readonly refusingCheckpoints = new Set<string>()
-  /** The body of each reservation, by task id. */
+  /** Bodies of accepted reservations, by task id. */
   readonly reservations = new Map<string, ReserveTask>()
-  /** Set, each task finishes with this answer as soon as it has started. */
+  /** If set, each task finishes with this answer as soon as it has started. */
   instantAnswer: string | undefined
-  /** Task ids in the order in which they began to run. */
+  /** Ids of started tasks, in the order of their start. */
   readonly started: string[] = []
   readonly #clock: Clock
   readonly #tasks = new Map<string, FakeTask>()
@@ -45,14 +46,14 @@
     this.#clock = clock
   }
 
-  /** The state of a task now. */
+  /** Returns the current state of a task, or undefined if it is not known. */
   getState(taskId: string): TaskState | undefined {
     const task = this.#tasks.get(taskId)
     if (task !== undefined) this.#expireLease(task)
     return task?.state
   }
 
-  /** Tasks that hold accelerators now. */
+  /** Lists tasks that hold accelerators now. */
   listHolding(): readonly FakeTask[] {
     return [...this.#tasks.values()].filter((task) => {
       this.#expireLease(task)
@@ -68,7 +69,7 @@
     this.#endTask(taskId, 'failed', (task) => (task.failure = failure))
   }
 
-  /** The upstream restarts: its tasks end, and it has never heard of them. */
+  /** Restarts the upstream: its tasks end, and it has no record of them. */
   restartUpstream(address: string): void {
     for (const task of this.#tasks.values()) {
       if (task.address === address) this.#tasks.delete(task.taskId)
--- a/control/fakes/src/index.ts
+++ b/control/fakes/src/index.ts
@@ -1,3 +1,3 @@
-/** Fakes at the seams of control, for tests. */
+/** Fakes of what control depends on, and sample data, for tests. */
 export { createContract, createJobRequest, createUpstreamView } from './examples.js'
 export { FakeUpstreams } from './fakeUpstreams.js'
