--- a/control/gangs/src/gangManager.ts
+++ b/control/gangs/src/gangManager.ts
@@ -1,15 +1,15 @@
-/** One task for each placed gang, for as long as this instance leads. */
+/** Runs each placed gang in an asynchronous task of its own for as long as this instance leads. */
 import { setMaxListeners } from 'node:events'
 import type { Placement } from '@nettlespur/api.schemas'
 import type { JobRecord } from '@nettlespur/control.state'
 import { toNettlespurError } from '@nettlespur/core.errors'
 import { BehaviorSubject } from 'rxjs'
-import { EndedLog } from './endedLog.js'
+import { EndedGangLog } from './endedGangLog.js'
 import type { GangOptions } from './gangOptions.js'
 import { GangRunner, type GangContext } from './gangRunner.js'
 import { RetryBudget } from './retryBudget.js'
 
-const resumeAfterMs = 1000
+const pauseAfterFaultMs = 1000
 
 interface RunningGang {
   readonly ended: Promise<void>
@@ -21,23 +21,23 @@
   readonly #opts: GangOptions
   readonly #stopping = new AbortController()
   readonly #running = new Map<string, RunningGang>()
-  /** By job id and by task id, so that news reaches its gang without asking the others. */
+  /** Keyed by job id and by task id, so that a change wakes its gang without a search of all gangs. */
   readonly #wakes = new Map<string, BehaviorSubject<number>>()
   readonly #retries: RetryBudget
-  readonly #endedLog: EndedLog
+  readonly #endedLog: EndedGangLog
 
   constructor(opts: GangOptions) {
     this.#opts = opts
-    // One listener for each gang is no leak.
+    // Each gang adds a listener, so Node's warning about a listener leak does not apply.
     setMaxListeners(0, this.#stopping.signal)
     this.#retries = new RetryBudget(opts.clock)
-    this.#endedLog = new EndedLog(opts.clock, opts.logger)
+    this.#endedLog = new EndedGangLog(opts.clock, opts.logger)
     const subscriptions = [
       opts.holder.jobChanges.subscribe((job) => {
-        raise(this.#wakes.get(job.jobId))
+        incrementWake(this.#wakes.get(job.jobId))
       }),
       opts.taskReports.subscribe(({ taskId, state }) => {
-        if (state !== 'running') raise(this.#wakes.get(taskId))
+        if (state !== 'running') incrementWake(this.#wakes.get(taskId))
       }),
       opts.upstreamChanges.subscribe((upstreamId) => {
         this.#wakeGangsOn(upstreamId)
@@ -48,35 +48,35 @@
     })
   }
 
-  /** Gangs that are being run. */
+  /** Number of gangs that are being run. */
   get size(): number {
     return this.#running.size
   }
 
-  /** Runs a gang that was placed just now. */
+  /** Runs a newly placed gang. */
   start(job: JobRecord): void {
-    this.#own(job, (runner) => runner.run(job))
+    this.#runGang(job, (runner) => runner.run(job))
   }
 
   /**
-   * Takes over every placed gang of the state that is not run here: another leader placed it, its own task
-   * failed, or it was placed by a command whose answer was lost. Called often.
+   * Takes over every placed gang in the state that has no runner here, because another leader placed it, its
+   * runner failed, or the result of the command that placed it was lost. Called in each placement round.
    */
   recover(): void {
     for (const job of this.#opts.holder.state.listLiveJobs()) {
-      this.#own(job, (runner) => runner.resume(job))
+      this.#runGang(job, (runner) => runner.resume(job))
     }
   }
 
-  /** Lets go of all gangs without stopping them; their tasks go on under the next leader. */
+  /** Ends all runners without stopping their gangs; the next leader takes the gangs over. */
   async stop(): Promise<void> {
     this.#stopping.abort()
     await Promise.all([...this.#running.values()].map((gang) => gang.ended))
   }
 
-  #own(job: JobRecord, run: (runner: GangRunner) => Promise<void>): void {
+  #runGang(job: JobRecord, run: (runner: GangRunner) => Promise<void>): void {
     const { placement, jobId } = job
-    if (placement === undefined || this.#mustStop()) return
+    if (placement === undefined || this.#isStopping()) return
     const name = `${jobId}/${placement.fence}`
     if (this.#running.has(name)) return
     const wake = new BehaviorSubject(0)
@@ -96,7 +96,7 @@
 
   #wakeGangsOn(upstreamId: string): void {
     for (const { wake, placement } of this.#running.values()) {
-      if (placement.members.some((member) => member.upstreamId === upstreamId)) raise(wake)
+      if (placement.members.some((member) => member.upstreamId === upstreamId)) incrementWake(wake)
     }
   }
 
@@ -105,19 +105,19 @@
     return { opts: this.#opts, retries: this.#retries, endedLog: this.#endedLog, wake, signal }
   }
 
-  /** An unforeseen failure leaves the gang to the next `recover`, after a pause. */
+  /** Logs an unexpected failure and waits; after that, the next `recover` takes the gang over. */
   async #pauseAfterFault(jobId: string, fence: number, thrown: unknown): Promise<void> {
-    if (this.#mustStop()) return
+    if (this.#isStopping()) return
     const reason = toNettlespurError(thrown).message
     this.#opts.logger.error({ event: 'gang.task-failed', jobId, fence, reason })
-    await this.#opts.clock.sleep(resumeAfterMs, this.#stopping.signal)
+    await this.#opts.clock.sleep(pauseAfterFaultMs, this.#stopping.signal)
   }
 
-  #mustStop(): boolean {
+  #isStopping(): boolean {
     return this.#stopping.signal.aborted
   }
 }
 
-function raise(wake: BehaviorSubject<number> | undefined): void {
+function incrementWake(wake: BehaviorSubject<number> | undefined): void {
   wake?.next(wake.value + 1)
 }
--- a/control/gangs/src/gangRunner.ts
+++ b/control/gangs/src/gangRunner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs one placed gang from its reservation to its end, as one straight line: reserve all members, commit
- * the start before it is sent, start, renew until the end, collect, commit. Whatever breaks the gang stops
- * all of its members before their accelerators are handed on.
+ * Runs one placed gang as one sequence of steps: reserve all members, commit the start before it is sent,
+ * start, renew until the end, collect the answer, commit the end. If any step fails, all members are stopped
+ * before their accelerators are released.
  */
 import type { Placement } from '@nettlespur/api.schemas'
 import type { Command, CommandResult, JobRecord } from '@nettlespur/control.state'
@@ -9,27 +9,27 @@
 import { chooseCommand } from './chooseCommand.js'
 import { collectAnswer } from './collectAnswer.js'
 import { createReserveBody } from './createReserveBody.js'
-import type { EndedLog } from './endedLog.js'
+import type { EndedGangLog } from './endedGangLog.js'
 import { GangMember } from './gangMember.js'
 import type { GangOptions } from './gangOptions.js'
-import { judgeMembers, type GangOutcome, type GangStopped } from './gangOutcome.js'
+import { evaluateMembers, type GangOutcome, type GangStopped } from './gangOutcome.js'
 import { LeaderLog } from './leaderLog.js'
 import type { RetryBudget } from './retryBudget.js'
 import { takeCheckpoint } from './takeCheckpoint.js'
 import { waitForWake } from './waitForWake.js'
 
 const firstPollMs = 50
-/** A refused command about the end of a job is chosen anew this often: a cancel may have come between. */
-const settleTriesMax = 3
+/** Tries to commit the end of a job: a cancel in between may cause a refusal, so each try chooses anew. */
+const endCommitTriesMax = 3
 
-/** What a gang shares with the others of its manager. */
+/** Dependencies of one runner: all but `wake` are shared by the gangs of a manager. */
 export interface GangContext {
   readonly opts: GangOptions
   readonly retries: RetryBudget
-  readonly endedLog: EndedLog
-  /** Raised when the job, one of its tasks or one of its upstreams has changed. */
+  readonly endedLog: EndedGangLog
+  /** Incremented when the job, one of its tasks or one of its upstreams has changed. */
   readonly wake: BehaviorSubject<number>
-  /** Ends the run without any further call: the gang goes on under its next leader. */
+  /** Ends the run without further calls; the next leader takes the gang over. */
   readonly signal: AbortSignal
 }
 
@@ -41,7 +41,7 @@
   readonly #members: readonly GangMember[]
   readonly #log: LeaderLog
   readonly #signal: AbortSignal
-  /** When the members were started, where this leader did it. */
+  /** Monotonic time of the start; undefined if another leader committed it. */
   #startedMs: number | undefined
 
   constructor(context: GangContext, job: JobRecord, placement: Placement) {
@@ -56,27 +56,27 @@
     this.#signal = signal
   }
 
-  /** From the reservation on. */
+  /** Runs a newly placed gang. */
   async run(job: JobRecord): Promise<void> {
     const refusal = await this.#reserveAll(job)
-    const unstarted = refusal ?? (await this.#commitStart())
-    const outcome = unstarted ?? (await this.#watch())
-    await this.#end(outcome)
+    const startFailure = refusal ?? (await this.#commitStart())
+    const outcome = startFailure ?? (await this.#renewUntilEnd())
+    await this.#stopAndCommitEnd(outcome)
   }
 
-  /** Takes over a gang that another leader placed: what has not started is undone, what has goes on. */
+  /** Takes over a placed gang: stops it if it has not started, else completes a pending stop or continues it. */
   async resume(job: JobRecord): Promise<void> {
     for (const member of this.#members) member.adopt()
-    const outcome = (await this.#endUnfinished(job)) ?? (await this.#watch())
-    await this.#end(outcome)
+    const outcome = (await this.#completePendingStop(job)) ?? (await this.#renewUntilEnd())
+    await this.#stopAndCommitEnd(outcome)
   }
 
-  /** What another leader left undone; undefined where the gang is to go on. */
-  async #endUnfinished(job: JobRecord): Promise<GangStopped | undefined> {
+  /** Completes a stop or a preemption that is pending. Returns undefined if the gang is to run on. */
+  async #completePendingStop(job: JobRecord): Promise<GangStopped | undefined> {
     const startSent = job.startCommitted
     if (startSent && job.preemption !== undefined) return this.#preempt(job)
     if (job.state === 'running') return undefined
-    const stop = this.#describeStop(job, startSent)
+    const stop = this.#createStopOutcome(job, startSent)
     return stop ?? { kind: 'lost', reason: 'its leader was lost before the start', startSent }
   }
 
@@ -98,7 +98,7 @@
     return undefined
   }
 
-  /** Committed for every job, repeatable or not, so that a later leader knows what may have run. */
+  /** Commits the start of every job, repeatable or not, so that a later leader knows what may have run. */
   async #commitStart(): Promise<GangStopped | undefined> {
     const { fence } = this.#placement
     const at = this.#opts.clock.now().toISOString()
@@ -108,10 +108,11 @@
     const job = this.#readJob()
     if (job?.state === 'running') return undefined
     const lost = { kind: 'lost' as const, reason: result.error.message, startSent: false }
-    return (job && this.#describeStop(job, false)) ?? lost
+    return (job && this.#createStopOutcome(job, false)) ?? lost
   }
 
-  async #watch(): Promise<GangOutcome> {
+  /** Starts the members and renews their leases until the gang has an outcome. */
+  async #renewUntilEnd(): Promise<GangOutcome> {
     const { clock, timings } = this.#opts
     let pauseMs = firstPollMs
     const { wake } = this.#context
@@ -120,10 +121,10 @@
       await Promise.all(this.#members.map((member) => member.renewAndStart()))
       this.#signal.throwIfAborted()
       const ranMs = clock.monotonicMs() - (this.#startedMs ?? Number.NEGATIVE_INFINITY)
-      const verdict = judgeMembers(this.#members, ranMs)
+      const verdict = evaluateMembers(this.#members, ranMs)
       if (verdict === 'finished') return collectAnswer(this.#opts, this.#members, this.#signal)
       if (verdict !== undefined) return verdict
-      const stop = await this.#obeyStop()
+      const stop = await this.#checkStopRequest()
       if (stop !== undefined) return stop
       const dueMs = Math.min(pauseMs, ...this.#members.map((member) => member.renewalDueMs))
       const woken = wake.pipe(filter((version) => version > seen))
@@ -133,25 +134,29 @@
     }
   }
 
-  /** Stops what is left, then commits how the job goes on. */
-  async #end(outcome: GangOutcome): Promise<void> {
-    if (outcome.kind === 'lost') await this.#log.confirmLead()
-    const settled = outcome.kind === 'finished' ? outcome : await this.#stopAll(outcome)
-    for (let tries = 0; tries < settleTriesMax; tries++) {
+  /** Stops all members unless the gang has finished, then commits the end or the requeueing of the job. */
+  async #stopAndCommitEnd(outcome: GangOutcome): Promise<void> {
+    if (outcome.kind === 'lost') await this.#log.confirmLeadership()
+    const finalOutcome = outcome.kind === 'finished' ? outcome : await this.#stopAll(outcome)
+    for (let tries = 0; tries < endCommitTriesMax; tries++) {
       const job = this.#readJob()
       if (job === undefined) return
-      const command = this.#choose(job, settled)
+      const command = this.#chooseEndCommand(job, finalOutcome)
       const result = await this.#log.commit(command)
       this.#logEnd(command, result)
       if (result.type !== 'refused') return
       if (result.error.kind === 'body-too-large') {
-        await this.#end({ kind: 'failed', reason: result.error.message, startSent: true })
+        await this.#stopAndCommitEnd({
+          kind: 'failed',
+          reason: result.error.message,
+          startSent: true,
+        })
         return
       }
     }
   }
 
-  #choose(job: JobRecord, outcome: GangOutcome): Command {
+  #chooseEndCommand(job: JobRecord, outcome: GangOutcome): Command {
     const { clock, random, holder } = this.#opts
     const { workspace } = job.request
     const limits = holder.state.getContract(workspace)?.contract.limits
@@ -167,7 +172,7 @@
     })
   }
 
-  /** A gang stopped at request that proves to have finished in the meantime gives its answer after all. */
+  /** Stops all members. A cancelled or preempted gang that has finished in the meantime still gives its answer. */
   async #stopAll(outcome: GangStopped): Promise<GangOutcome> {
     const stops = await Promise.all(this.#members.map((member) => member.stop(this.#signal)))
     const requested = outcome.kind === 'cancelled' || outcome.kind === 'preempted'
@@ -175,22 +180,22 @@
     return collectAnswer(this.#opts, this.#members, this.#signal)
   }
 
-  /** The job as it stands, while this placement is still its own. */
+  /** Returns the current job, or undefined if it has ended or has another placement. */
   #readJob(): JobRecord | undefined {
     const job = this.#opts.holder.state.getLiveJob(this.#jobId)
     return job?.placement?.fence === this.#placement.fence ? job : undefined
   }
 
-  /** Whether the job is to be cancelled or to make way; undefined where it goes on. */
-  async #obeyStop(): Promise<GangStopped | undefined> {
-    const startSent = this.#members.some((member) => member.startMayHaveLeft)
+  /** Checks for a cancellation or preemption of the job. Returns undefined if it is to run on. */
+  async #checkStopRequest(): Promise<GangStopped | undefined> {
+    const startSent = this.#members.some((member) => member.mayHaveSentStart)
     const job = this.#readJob()
     if (job === undefined) return { kind: 'cancelled', reason: 'its record is gone', startSent }
     if (job.preemption !== undefined) return this.#preempt(job)
-    return this.#describeStop(job, startSent)
+    return this.#createStopOutcome(job, startSent)
   }
 
-  #describeStop(job: JobRecord, startSent: boolean): GangStopped | undefined {
+  #createStopOutcome(job: JobRecord, startSent: boolean): GangStopped | undefined {
     if (job.cancelRequested) {
       return { kind: 'cancelled', reason: 'stopped for its caller', startSent }
     }
@@ -199,7 +204,7 @@
   }
 
   /**
-   * A started gang makes way. Where no checkpoint could be taken, a job that is not repeatable runs on:
+   * Preempts a started gang. If no checkpoint could be taken, a job that is not repeatable runs on, as
    * stopping it would lose it.
    */
   async #preempt({ request, preemption }: JobRecord): Promise<GangStopped | undefined> {
@@ -212,25 +217,30 @@
       return { kind: 'preempted', reason, startSent: true, checkpointId }
     }
     const at = this.#opts.clock.now().toISOString()
-    const kept = 'no checkpoint of the whole gang could be taken in time; it runs on'
-    await this.#log.commit({ type: 'job.keep', at, ...this.#describe(), reason: kept })
-    this.#opts.logger.warn({ event: 'gang.kept', ...this.#describe(), reason: kept })
+    const keptReason = 'no checkpoint of the whole gang could be taken in time; it runs on'
+    await this.#log.commit({
+      type: 'job.keep',
+      at,
+      ...this.#identifyPlacement(),
+      reason: keptReason,
+    })
+    this.#opts.logger.warn({ event: 'gang.kept', ...this.#identifyPlacement(), reason: keptReason })
     return undefined
   }
 
   #logEnd(command: Command, result: CommandResult): void {
     const { logger } = this.#opts
-    const head = { ...this.#describe(), type: command.type }
+    const head = { ...this.#identifyPlacement(), type: command.type }
     if (result.type === 'refused') {
       logger.warn({ event: 'gang.settle-refused', ...head, reason: result.error.message })
     }
     if (result.type === 'job') {
       const { state, reason } = result.job
-      this.#context.endedLog.note({ ...head, state, reason })
+      this.#context.endedLog.logEnd({ ...head, state, reason })
     }
   }
 
-  #describe(): { jobId: string; fence: number } {
+  #identifyPlacement(): { jobId: string; fence: number } {
     return { jobId: this.#jobId, fence: this.#placement.fence }
   }
 }
--- a/control/gangs/test/gangManager.test.ts
+++ b/control/gangs/test/gangManager.test.ts
@@ -1,13 +1,20 @@
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
-import { cancel, createGangs, leasesOverMs, readState, startGang, timings } from './createGangs.js'
-
-test('a gang whose members all finish gives its whole answer in rank order', async (t) => {
-  const gangs = await createGangs()
+import {
+  cancel,
+  createGangFixture,
+  allLeasesExpiredMs,
+  readState,
+  startGang,
+  timings,
+} from './createGangFixture.js'
+
+test('a gang whose members have all finished gives their answers in rank order', async (t) => {
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   t.deepEqual(gangs.client.started, [first, second])
   gangs.client.finish(second, 'two')
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.is(readState(gangs, job)?.state, 'running')
   gangs.client.finish(first, 'one')
   gangs.taskReports.next({ taskId: first, fence: 1, state: 'finished' })
@@ -21,17 +28,17 @@
 })
 
 test('one refused reservation starts nothing, and the job goes back to the queue', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   gangs.client.refusing.add('a1')
   const { job, first } = await startGang(gangs, { repeatable: false })
   t.deepEqual(gangs.client.started, [])
-  t.is(gangs.client.stateOf(first), 'never-runs')
+  t.is(gangs.client.getState(first), 'never-runs')
   t.like(readState(gangs, job), { state: 'queued', placement: undefined })
   t.regex(readState(gangs, job)?.reason ?? '', /u1 did not reserve/)
 })
 
-test('a reservation whose answer is lost keeps its accelerators until its lease must be over', async (t) => {
-  const gangs = await createGangs()
+test('a reservation whose answer is lost keeps its accelerators until its lease must have expired', async (t) => {
+  const gangs = await createGangFixture()
   gangs.client.mute.add('a1')
   const { job } = await startGang(gangs, {})
   await gangs.clock.advance(timings.taskLeaseMs)
@@ -42,98 +49,98 @@
   t.deepEqual(gangs.client.listHolding(), [])
 })
 
-test('a lost member stops all others; a repeatable job is tried again', async (t) => {
-  const gangs = await createGangs()
+test('the loss of a member stops all others, and a repeatable job is queued again', async (t) => {
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: true })
-  gangs.client.forget('a1')
+  gangs.client.restartUpstream('a1')
   await gangs.clock.advance(timings.renewTasksEveryMs)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
   t.like(readState(gangs, job), { state: 'queued', attempts: 1, placement: undefined })
 })
 
-test('accelerators of a silent upstream are free only after its lease and the drift margin', async (t) => {
-  const gangs = await createGangs()
+test('accelerators of an unreachable upstream are free only after the lease and the drift margin', async (t) => {
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: true })
   gangs.client.unreachable.add('a1')
   await gangs.clock.advance(timings.taskLeaseMs)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
   t.truthy(readState(gangs, job)?.placement)
   await gangs.clock.advance(timings.clockDriftMarginMs + 300)
   t.like(readState(gangs, job), { state: 'queued', placement: undefined })
 })
 
 test('a job that is not repeatable and loses a member after its start ends unknown', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job } = await startGang(gangs, { repeatable: false })
-  gangs.client.forget('a1')
+  gangs.client.restartUpstream('a1')
   await gangs.clock.advance(timings.renewTasksEveryMs)
   t.is(readState(gangs, job)?.state, 'unknown')
   t.is(gangs.client.started.length, 2)
 })
 
-test('a job that is not repeatable goes back to the queue where no start can have left', async (t) => {
-  const gangs = await createGangs()
+test('a job that is not repeatable goes back to the queue if no start can have been sent', async (t) => {
+  const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type !== 'job.started') return
     gangs.client.unreachable.add('a0').add('a1')
   }
   const { job } = await startGang(gangs, { repeatable: false })
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.like(readState(gangs, job), { state: 'queued', startedAt: undefined })
   t.deepEqual(gangs.client.started, [])
 })
 
-test('a task that fails by itself ends a job that is not repeatable, with its reason', async (t) => {
-  const gangs = await createGangs()
+test('a task that fails on its own ends a job that is not repeatable, with the reason of the failure', async (t) => {
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   gangs.client.fail(second, 'out of memory')
   await gangs.clock.advance(timings.renewTasksEveryMs)
   t.is(readState(gangs, job)?.state, 'failed')
   t.regex(readState(gangs, job)?.reason ?? '', /u1: out of memory/)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
 })
 
-test('a restart before the start was committed starts nothing and requeues the job', async (t) => {
-  const gangs = await createGangs()
+test('a new leader requeues a job whose start was not committed, and starts nothing', async (t) => {
+  const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type === 'job.started') throw new NettlespurError('no-quorum', 'cut off')
   }
   const { job, manager, first } = await startGang(gangs, { repeatable: false })
   await manager.stop()
-  t.is(gangs.client.stateOf(first), 'reserved')
+  t.is(gangs.client.getState(first), 'reserved')
   gangs.createManager().recover()
   await gangs.clock.advance(1)
-  t.is(gangs.client.stateOf(first), 'never-runs')
+  t.is(gangs.client.getState(first), 'never-runs')
   t.is(readState(gangs, job)?.state, 'queued')
   t.deepEqual(gangs.client.started, [])
 })
 
-test('a running gang is taken over by the next leader, not started again', async (t) => {
-  const gangs = await createGangs()
+test('the next leader takes over a running gang and does not start it again', async (t) => {
+  const gangs = await createGangFixture()
   const { job, manager, first, second } = await startGang(gangs, { repeatable: false })
   await manager.stop()
   gangs.createManager().recover()
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.deepEqual(gangs.client.started, [first, second])
   for (const taskId of [first, second]) gangs.client.finish(taskId, 'whole')
   await gangs.clock.advance(timings.renewTasksEveryMs)
   t.is(readState(gangs, job)?.state, 'finished')
 })
 
-test('a restart between the start and its loss never runs an unrepeatable job twice', async (t) => {
-  const gangs = await createGangs()
+test('a job that is not repeatable is not run again if its tasks are lost while the leader changes', async (t) => {
+  const gangs = await createGangFixture()
   const { job, manager } = await startGang(gangs, { repeatable: false })
   await manager.stop()
-  gangs.client.forget('a0')
-  gangs.client.forget('a1')
+  gangs.client.restartUpstream('a0')
+  gangs.client.restartUpstream('a1')
   gangs.createManager().recover()
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.is(readState(gangs, job)?.state, 'unknown')
   t.is(gangs.client.started.length, 2)
 })
 
-test('a start whose answers are lost is not repeated where the task has begun', async (t) => {
-  const gangs = await createGangs()
+test('a start whose answer is lost is not repeated once the task runs', async (t) => {
+  const gangs = await createGangFixture()
   gangs.log.beforeCommit = ({ type }) => {
     if (type === 'job.started') gangs.client.mute.add('a0')
   }
@@ -145,12 +152,12 @@
 })
 
 test('a cancelled gang ends only once all of its members are known to have stopped', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, {})
   gangs.client.mute.add('a1')
   await cancel(gangs, job)
   await gangs.clock.advance(1000)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
   t.is(readState(gangs, job)?.state, 'stopping')
   gangs.client.mute.clear()
   await gangs.clock.advance(1000)
@@ -159,7 +166,7 @@
 })
 
 test('a gang that had finished when its cancel arrived gives its answer', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false })
   for (const taskId of [first, second]) gangs.client.finish(taskId, 'whole')
   await cancel(gangs, job)
@@ -167,8 +174,8 @@
   t.is(readState(gangs, job)?.state, 'finished')
 })
 
-test('a gang without contact at its leader stops by itself at the end of its leases', async (t) => {
-  const gangs = await createGangs()
+test('a gang whose leader is gone stops when its leases expire', async (t) => {
+  const gangs = await createGangFixture()
   const { manager } = await startGang(gangs, {})
   await manager.stop()
   await gangs.clock.advance(timings.taskLeaseMs)
@@ -176,17 +183,17 @@
 })
 
 test('a leader that is cut off from its quorum and from an upstream stops no other member', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { manager, first } = await startGang(gangs, { repeatable: false })
   gangs.log.cutOff = true
   gangs.client.unreachable.add('a1')
   gangs.silentUpstreams.add('u1')
   await gangs.clock.advance(timings.renewTasksEveryMs * 3)
-  t.is(gangs.client.stateOf(first), 'running')
+  t.is(gangs.client.getState(first), 'running')
   await manager.stop()
   gangs.log.cutOff = false
   gangs.client.unreachable.clear()
   gangs.createManager().recover()
-  await gangs.clock.advance(leasesOverMs)
-  t.is(gangs.client.stateOf(first), 'running')
+  await gangs.clock.advance(allLeasesExpiredMs)
+  t.is(gangs.client.getState(first), 'running')
 })
--- a/control/gangs/test/gangProperties.test.ts
+++ b/control/gangs/test/gangProperties.test.ts
@@ -4,15 +4,15 @@
 import fc from 'fast-check'
 import {
   cancel,
-  createGangs,
-  leasesOverMs,
+  createGangFixture,
+  allLeasesExpiredMs,
   preempt,
   submitGang,
-  type Gangs,
-} from './createGangs.js'
+  type GangFixture,
+} from './createGangFixture.js'
 
 const addresses = ['a0', 'a1', 'a2']
-const acceleratorsEach = 2
+const acceleratorsPerUpstream = 2
 const gangSize = 2
 
 const jobIndex = fc.nat({ max: 5 })
@@ -74,12 +74,12 @@
 )
 type Step = typeof steps extends fc.Arbitrary<infer T> ? T : never
 
-/** Gangs with a placer that takes the first free accelerators, and the leader that runs them. */
-class Trial {
-  readonly gangs: Gangs
-  #manager: ReturnType<Gangs['createManager']>
+/** Runs gangs under one leader and places them on the first free accelerators. */
+class GangSimulation {
+  readonly gangs: GangFixture
+  #manager: ReturnType<GangFixture['createManager']>
 
-  constructor(gangs: Gangs) {
+  constructor(gangs: GangFixture) {
     this.gangs = gangs
     this.#manager = gangs.createManager()
   }
@@ -104,7 +104,7 @@
         await this.#withJob(step.index, (job) => preempt(this.gangs, job, step.withCheckpoint))
         break
       case 'restart':
-        client.forget(step.address)
+        client.restartUpstream(step.address)
         break
       case 'silence':
         silentUpstreams.add(toUpstreamId(step.address))
@@ -126,10 +126,10 @@
     if (!log.cutOff) await this.#placeAll()
   }
 
-  /** All faults end, and whatever is under way comes to its end or goes on. */
-  async settle(): Promise<void> {
+  /** Ends all faults, then advances the clock beyond all leases, so that pending work ends or continues. */
+  async healAndSettle(): Promise<void> {
     this.#heal()
-    await this.gangs.clock.advance(leasesOverMs)
+    await this.gangs.clock.advance(allLeasesExpiredMs)
   }
 
   #heal(): void {
@@ -139,7 +139,7 @@
     log.cutOff = false
   }
 
-  /** The former leader lets go of its gangs wherever they stand, and another takes them over. */
+  /** Ends the runners of the former leader at any point of their work and has another take their gangs over. */
   async #changeLeader(): Promise<void> {
     const former = this.#manager
     await former.stop()
@@ -153,7 +153,7 @@
     this.#manager.recover()
     for (const job of holder.state.listLiveJobs()) {
       if (job.state !== 'queued') continue
-      const assignments = pickFree(holder.state.listLiveJobs())
+      const assignments = pickFreeAccelerators(holder.state.listLiveJobs())
       if (assignments === undefined) return
       const at = clock.now().toISOString()
       const command = { type: 'job.place' as const, at, jobId: job.jobId, assignments, reason: '' }
@@ -166,7 +166,7 @@
   #endTask(how: 'finish' | 'fail', index: number, rank: number): void {
     const jobs = this.gangs.holder.state.listLiveJobs()
     const taskId = jobs[index % Math.max(1, jobs.length)]?.placement?.members[rank]?.taskId ?? ''
-    if (this.gangs.client.stateOf(taskId) === 'running') this.gangs.client[how](taskId, 'whole')
+    if (this.gangs.client.getState(taskId) === 'running') this.gangs.client[how](taskId, 'whole')
   }
 
   async #withJob(index: number, run: (job: JobRecord) => Promise<void>): Promise<void> {
@@ -180,25 +180,26 @@
   return at.replace('a', 'u')
 }
 
-/** The first free accelerators, on as many upstreams as the gang has members. */
-function pickFree(jobs: readonly JobRecord[]) {
+/** Picks the first free accelerator on each of as many upstreams as the gang has members. */
+function pickFreeAccelerators(jobs: readonly JobRecord[]) {
   const members = jobs.flatMap((job) => job.placement?.members ?? [])
   const free = addresses.flatMap((at) => {
     const used = members.filter((member) => member.address === at)
     const taken = new Set(used.flatMap((member) => member.acceleratorIndexes))
-    const index = [...Array(acceleratorsEach).keys()].find((one) => !taken.has(one))
+    const index = [...Array(acceleratorsPerUpstream).keys()].find((one) => !taken.has(one))
     if (index === undefined) return []
     return [{ upstreamId: toUpstreamId(at), address: at, acceleratorIndexes: [index] }]
   })
   return free.length < gangSize ? undefined : free.slice(0, gangSize)
 }
 
-/** What must hold at every moment; undefined where it does. */
-function findFault({ client, holder }: Gangs): string | undefined {
+/** Checks the invariants that hold at all times. Returns the violation, or undefined if there is none. */
+function findViolation({ client, holder }: GangFixture): string | undefined {
   const held = new Set<string>()
   for (const { address: at, acceleratorIndexes, taskId } of client.listHolding()) {
     for (const index of acceleratorIndexes) {
-      if (held.has(`${at}/${index}`)) return `${taskId}: ${at}/${index} was handed on too early`
+      if (held.has(`${at}/${index}`))
+        return `${taskId}: ${at}/${index} was assigned again too early`
       held.add(`${at}/${index}`)
     }
   }
@@ -207,40 +208,40 @@
   for (const taskId of client.started) {
     const [jobId = '', attempt = ''] = taskId.split('.')
     const job = state.getJob('demo', jobId)
-    if (job?.state === 'cancelled' && job.startedAt === undefined) return `${jobId} did run`
-    const goesOn = client.reservations.get(taskId)?.checkpointId !== undefined
-    if (job?.request.repeatable === true || goesOn) continue
+    if (job?.state === 'cancelled' && job.startedAt === undefined) return `${jobId} was started`
+    const isResumed = client.reservations.get(taskId)?.checkpointId !== undefined
+    if (job?.request.repeatable === true || isResumed) continue
     attempts.set(jobId, (attempts.get(jobId) ?? new Set()).add(attempt))
     if ((attempts.get(jobId)?.size ?? 0) > 1) return `${jobId} was started twice`
   }
   return undefined
 }
 
-/** What must hold once nothing is broken any more. */
-function findPart({ client, holder }: Gangs): string | undefined {
+/** Checks that, once all faults have ended, every gang is held in full or not at all. */
+function findPartialGang({ client, holder }: GangFixture): string | undefined {
   const holding = new Set(client.listHolding().map((task) => task.taskId))
   for (const job of holder.state.listLiveJobs()) {
     const taskIds = (job.placement?.members ?? []).map((member) => member.taskId)
-    const whole = taskIds.every((id) => holding.has(id) || client.stateOf(id) === 'finished')
-    if (!whole) return `${job.jobId} is ${job.state} with a part of its gang`
+    const isWhole = taskIds.every((id) => holding.has(id) || client.getState(id) === 'finished')
+    if (!isWhole) return `${job.jobId} is ${job.state} with a part of its gang`
     for (const taskId of taskIds) holding.delete(taskId)
   }
-  const [left] = holding
-  return left === undefined ? undefined : `${left} belongs to no gang`
+  const [orphan] = holding
+  return orphan === undefined ? undefined : `${orphan} belongs to no gang`
 }
 
-test('whatever fails, gangs run whole or not at all, no accelerator is handed on early, and none runs twice', async (t) => {
+test('under any faults, gangs run in full or not at all, accelerators are not reassigned early, and no unrepeatable job runs twice', async (t) => {
   const property = fc.asyncProperty(
     fc.array(steps, { minLength: 5, maxLength: 40 }),
     async (list) => {
-      const trial = new Trial(await createGangs())
+      const simulation = new GangSimulation(await createGangFixture())
       for (const step of list) {
-        await trial.apply(step)
-        const fault = findFault(trial.gangs)
+        await simulation.apply(step)
+        const fault = findViolation(simulation.gangs)
         if (fault !== undefined) throw new Error(fault)
       }
-      await trial.settle()
-      const fault = findFault(trial.gangs) ?? findPart(trial.gangs)
+      await simulation.healAndSettle()
+      const fault = findViolation(simulation.gangs) ?? findPartialGang(simulation.gangs)
       if (fault !== undefined) throw new Error(fault)
     },
   )
--- a/control/gangs/test/preemption.test.ts
+++ b/control/gangs/test/preemption.test.ts
@@ -1,31 +1,31 @@
 import test from 'ava'
 import {
   cancel,
-  createGangs,
-  leasesOverMs,
+  createGangFixture,
+  allLeasesExpiredMs,
   placeGang,
   preempt,
   readState,
   startGang,
   timings,
-} from './createGangs.js'
+} from './createGangFixture.js'
 
-test('a preempted gang stops whole at once and is queued again, as if it had not failed', async (t) => {
-  const gangs = await createGangs()
+test('all members of a preempted gang stop at once, and its job is queued again without a failed attempt', async (t) => {
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: true })
   const preemptedAt = gangs.clock.now().toISOString()
   await preempt(gangs, job, false)
   await gangs.clock.advance(1)
   t.deepEqual(
-    [first, second].map((id) => gangs.client.stateOf(id)),
+    [first, second].map((id) => gangs.client.getState(id)),
     ['stopped', 'stopped'],
   )
   t.like(readState(gangs, job), { state: 'queued', failedAttempts: 0, placement: undefined })
   t.is(readState(gangs, job)?.retryAt, preemptedAt)
 })
 
-test('the next attempt of a checkpointed gang goes on from the checkpoint of all its members', async (t) => {
-  const gangs = await createGangs()
+test('the next attempt of a checkpointed gang resumes from the checkpoints of all its members', async (t) => {
+  const gangs = await createGangFixture()
   const { job, first, second } = await startGang(gangs, { repeatable: false, checkpointable: true })
   await preempt(gangs, job, true)
   await gangs.clock.advance(1)
@@ -37,56 +37,56 @@
   t.is(gangs.client.reservations.get(taskId)?.checkpointId, `of-${first},of-${second}`)
 })
 
-test('a job that is not repeatable runs on where no checkpoint of the whole gang is taken', async (t) => {
-  const gangs = await createGangs()
+test('a job that is not repeatable runs on if a member takes no checkpoint', async (t) => {
+  const gangs = await createGangFixture()
   gangs.client.refusingCheckpoints.add('a1')
   const { job, first, second } = await startGang(gangs, { repeatable: false, checkpointable: true })
   await preempt(gangs, job, true)
-  await gangs.clock.advance(leasesOverMs)
+  await gangs.clock.advance(allLeasesExpiredMs)
   t.deepEqual(
-    [first, second].map((id) => gangs.client.stateOf(id)),
+    [first, second].map((id) => gangs.client.getState(id)),
     ['running', 'running'],
   )
   t.like(readState(gangs, job), { state: 'running', preemption: undefined })
 })
 
 test('a job that is neither repeatable nor checkpointable is never preempted', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const { job, first } = await startGang(gangs, { repeatable: false })
   await preempt(gangs, job, false)
   await preempt(gangs, job, true)
-  await gangs.clock.advance(leasesOverMs)
-  t.is(gangs.client.stateOf(first), 'running')
+  await gangs.clock.advance(allLeasesExpiredMs)
+  t.is(gangs.client.getState(first), 'running')
   t.is(readState(gangs, job)?.state, 'running')
 })
 
-test('a victim that ignores its stop keeps its accelerators until its lease must be over', async (t) => {
-  const gangs = await createGangs()
+test('a preempted gang with a member that ignores its stop keeps its accelerators until the lease must have expired', async (t) => {
+  const gangs = await createGangFixture()
   gangs.client.ignoringStops.add('a1')
   const { job, second } = await startGang(gangs, { repeatable: true })
   await preempt(gangs, job, false)
   await gangs.clock.advance(timings.taskLeaseMs - 1000)
-  t.is(gangs.client.stateOf(second), 'running')
+  t.is(gangs.client.getState(second), 'running')
   t.truthy(readState(gangs, job)?.placement)
   await gangs.clock.advance(timings.clockDriftMarginMs + 1000 + 300)
-  t.is(gangs.client.stateOf(second), 'lease-expired')
+  t.is(gangs.client.getState(second), 'lease-expired')
   t.is(readState(gangs, job)?.state, 'queued')
 })
 
 test('a new leader completes a preemption that the former one began', async (t) => {
-  const gangs = await createGangs()
+  const gangs = await createGangFixture()
   const fields = { repeatable: false, checkpointable: true }
   const { job, manager, first, second } = await startGang(gangs, fields)
   await manager.stop()
   await preempt(gangs, job, true)
   gangs.createManager().recover()
   await gangs.clock.advance(1)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
   t.like(readState(gangs, job), { state: 'queued', checkpointId: `of-${first},of-${second}` })
 })
 
-test('a cancelled victim ends cancelled, not queued', async (t) => {
-  const gangs = await createGangs()
+test('a job that is cancelled during its preemption ends as cancelled and is not queued', async (t) => {
+  const gangs = await createGangFixture()
   const { job, manager } = await startGang(gangs, { repeatable: true })
   await manager.stop()
   await preempt(gangs, job, false)
@@ -96,20 +96,20 @@
   t.is(readState(gangs, job)?.state, 'cancelled')
 })
 
-test('a silent upstream whose calls fail is found dead before its lease ends', async (t) => {
-  const gangs = await createGangs()
+test('a gang is stopped before its lease ends if an upstream is silent and calls to it fail', async (t) => {
+  const gangs = await createGangFixture()
   const { first } = await startGang(gangs, { repeatable: true })
   gangs.client.unreachable.add('a1')
   await gangs.clock.advance(timings.renewTasksEveryMs)
-  t.is(gangs.client.stateOf(first), 'running')
+  t.is(gangs.client.getState(first), 'running')
   gangs.silentUpstreams.add('u1')
   gangs.upstreamChanges.next('u1')
   await gangs.clock.advance(1000)
-  t.is(gangs.client.stateOf(first), 'stopped')
+  t.is(gangs.client.getState(first), 'stopped')
 })
 
-test('a wave of cancellations leaves a bounded number of lines, and one that counts the rest', async (t) => {
-  const gangs = await createGangs()
+test('many cancellations write a bounded number of log lines and one that counts the rest', async (t) => {
+  const gangs = await createGangFixture()
   const manager = gangs.createManager()
   const started = []
   for (let index = 0; index < 30; index++) started.push(await startGang(gangs, {}, manager, index))
--- a/control/service/src/claimResolver.ts
+++ b/control/service/src/claimResolver.ts
@@ -1,7 +1,8 @@
 /**
- * Learns what became of claimed requests whose entry cannot tell: it died, gave up, or is past the
- * request's deadline. The upstream is asked; a task it has never seen is stopped under a higher fence, so
- * that "not run" is only recorded where the upstream has confirmed it for good.
+ * Determines the outcome of claimed requests whose entry cannot report it, because the entry died, gave
+ * up, or is past the request's deadline. The resolver asks the upstream. A task that the upstream has not
+ * seen or has only reserved is stopped under a higher fence, so that `not-run` is recorded only once the
+ * upstream has confirmed that the task can never run.
  */
 import {
   claimAnswerBytesMax,
@@ -23,7 +24,7 @@
 const shortestPauseMs = 250
 const longestPauseMs = 4000
 const pauseFactor = 2
-const resolvedAtOnce = 32
+const claimsPerRoundMax = 32
 const statusOk = 200
 
 interface Pause {
@@ -55,47 +56,48 @@
     while (!signal.aborted) {
       const seen = holder.state.appliedIndex
       await this.resolveDue(signal)
-      // What falls due by time waits for the tick, so that a commit costs no look at every claim's time.
-      const news = holder.applied.pipe(
-        filter((index) => index > seen && this.#listHandedOver().length > 0),
+      // Claims that become due by time are found on the next tick, so that a commit does not have to check
+      // the time of every claim.
+      const released = holder.applied.pipe(
+        filter((index) => index > seen && this.#listReleased().length > 0),
       )
-      await waitForWake(clock, tickMs, news, signal)
+      await waitForWake(clock, tickMs, released, signal)
     }
   }
 
-  /** One round over the claims that are due now. */
+  /** Runs one round over the claims that are due now. */
   async resolveDue(signal: AbortSignal): Promise<void> {
-    const due = this.#listDue().slice(0, resolvedAtOnce)
+    const due = this.#listDue().slice(0, claimsPerRoundMax)
     await Promise.all(due.map((claim) => this.#resolve(claim, signal)))
-    const live = new Set(this.#opts.holder.state.listUnresolvedClaims().map(nameOf))
+    const live = new Set(this.#opts.holder.state.listUnresolvedClaims().map(createTargetKey))
     this.#pauses = new Map([...this.#pauses].filter(([name]) => live.has(name)))
   }
 
-  /** Those whose entry has given up, or that were taken from it, and that do not pause. */
-  #listHandedOver(): Claim[] {
+  /** Lists claims that their entry has given up, or that were taken over from it, except paused ones. */
+  #listReleased(): Claim[] {
     return this.#opts.holder.state
       .listUnresolvedClaims()
       .filter((claim) => claim.outcome !== undefined && !this.#isPaused(claim))
   }
 
   #listDue(): Claim[] {
-    const wallMs = this.#opts.clock.now().getTime()
-    const isLeft = (claim: Claim): boolean =>
-      !this.#entries.mayLive(claim.entryId) || Date.parse(claim.resolveFrom) <= wallMs
+    const nowMs = this.#opts.clock.now().getTime()
+    const isAbandoned = (claim: Claim): boolean =>
+      !this.#entries.mayLive(claim.entryId) || Date.parse(claim.resolveFrom) <= nowMs
     return this.#opts.holder.state
       .listUnresolvedClaims()
-      .filter((claim) => claim.outcome !== undefined || isLeft(claim))
+      .filter((claim) => claim.outcome !== undefined || isAbandoned(claim))
       .filter((claim) => !this.#isPaused(claim))
   }
 
   #isPaused(claim: Claim): boolean {
-    const untilMs = this.#pauses.get(nameOf(claim))?.untilMs ?? 0
+    const untilMs = this.#pauses.get(createTargetKey(claim))?.untilMs ?? 0
     return untilMs > this.#opts.clock.monotonicMs()
   }
 
   async #resolve(claim: Claim, signal: AbortSignal): Promise<void> {
-    const learned = await tryAsync(() => this.#learn(claim, signal)).run()
-    learned.caseOf({
+    const result = await tryAsync(() => this.#determineOutcome(claim, signal)).run()
+    result.caseOf({
       Left: (error) => {
         this.#pause(claim, error.message)
       },
@@ -106,26 +108,26 @@
     })
   }
 
-  /** Undefined while the task runs. */
-  async #learn(claim: Claim, signal: AbortSignal): Promise<ClaimOutcome | undefined> {
+  /** Returns undefined while the task runs, if the claim has a new target, or if `signal` is aborted. */
+  async #determineOutcome(claim: Claim, signal: AbortSignal): Promise<ClaimOutcome | undefined> {
     const { address, taskId, attempt } = claim.target
     const status = await unwrap(this.#opts.client.getTask(address, taskId))
     if (signal.aborted) return undefined
     if (status.state !== 'unknown' && status.state !== 'reserved') {
-      return this.#settle(claim, status)
+      return this.#commitOutcome(claim, status)
     }
-    const taken = await this.#take(claim)
+    const taken = await this.#takeOver(claim)
     if (isResolved(taken)) return taken.outcome
-    // Moved or opened anew in between: what the former target says is no outcome any more.
+    // The claim was moved or reopened in the meantime, so the former target no longer determines its outcome.
     if (taken.target.taskId !== taskId || taken.target.attempt !== attempt) return undefined
     const stop = { address, taskId, fence: taken.fence }
-    return this.#settle(
+    return this.#commitOutcome(
       taken,
       await unwrap(this.#opts.client.stop(stop, { jobId: taskId, graceMs: 0 })),
     )
   }
 
-  async #take({ workspace, key, fence }: Claim): Promise<Claim> {
+  async #takeOver({ workspace, key, fence }: Claim): Promise<Claim> {
     const at = this.#opts.clock.now().toISOString()
     const taken = this.#opts.log
       .propose({ type: 'claim.take', at, workspace, key, fence })
@@ -133,7 +135,7 @@
     return unwrap(taken)
   }
 
-  async #settle(claim: Claim, status: TaskStatus): Promise<ClaimOutcome | undefined> {
+  async #commitOutcome(claim: Claim, status: TaskStatus): Promise<ClaimOutcome | undefined> {
     const outcome = await this.#readOutcome(claim, status)
     if (outcome === undefined) return undefined
     const { log, clock, timings } = this.#opts
@@ -151,15 +153,18 @@
     const { address, taskId, session } = claim.target
     switch (status.state) {
       case 'finished':
-        return this.#collect({ address, taskId, fence: status.fence }, status.answerBytes ?? 0)
+        return this.#collectAnswer(
+          { address, taskId, fence: status.fence },
+          status.answerBytes ?? 0,
+        )
       case 'failed':
       case 'stopped':
       case 'lease-expired':
         return { kind: 'failed', reason: status.failure ?? `its task is ${status.state}` }
       case 'never-runs':
         if (status.session === session)
-          return { kind: 'not-run', reason: 'its upstream confirms it' }
-        // A restarted upstream has forgotten what it ran: it can confirm nothing about the time before.
+          return { kind: 'not-run', reason: 'its upstream confirmed that the task never runs' }
+        // A restarted upstream has lost its record of earlier tasks and cannot confirm that one never ran.
         throw new NettlespurError('outcome-unknown', 'its upstream has restarted since')
       case 'running':
       case 'reserved':
@@ -168,8 +173,8 @@
     }
   }
 
-  /** An answer too large to keep stays with its upstream, and out of this process's memory. */
-  async #collect(task: TaskReference, bodyBytes: number): Promise<ClaimOutcome> {
+  /** Does not fetch an answer that is too large to keep: it stays on its upstream and out of memory here. */
+  async #collectAnswer(task: TaskReference, bodyBytes: number): Promise<ClaimOutcome> {
     if (bodyBytes > claimAnswerBytesMax) return { kind: 'answered', status: statusOk, bodyBytes }
     const collected = await this.#opts.client.getTypedAnswer(task).run()
     if (collected.isLeft()) {
@@ -188,9 +193,9 @@
   }
 
   #pause(claim: Claim, reason: string): void {
-    const former = this.#pauses.get(nameOf(claim))?.pauseMs ?? 0
+    const former = this.#pauses.get(createTargetKey(claim))?.pauseMs ?? 0
     const pauseMs = Math.min(longestPauseMs, Math.max(shortestPauseMs, former * pauseFactor))
-    this.#pauses.set(nameOf(claim), {
+    this.#pauses.set(createTargetKey(claim), {
       pauseMs,
       untilMs: this.#opts.clock.monotonicMs() + pauseMs,
     })
@@ -210,7 +215,7 @@
   }
 }
 
-/** One target of one claim. */
-function nameOf({ workspace, target }: Claim): string {
+/** Identifies one target of one claim, so that a claim that moves to a new target starts without a pause. */
+function createTargetKey({ workspace, target }: Claim): string {
   return `${workspace} ${target.taskId} ${target.attempt}`
 }
--- a/control/service/src/contractCalls.ts
+++ b/control/service/src/contractCalls.ts
@@ -1,6 +1,7 @@
 /**
- * What operators change. A contract is accepted only where its guaranteed shapes can be kept beside all
- * others; changes are looked at one after the other, so that two of them never count on the same room.
+ * Handles the contract changes of operators. A contract is accepted only if its guaranteed shapes fit
+ * beside those of all other contracts. Changes are checked and committed one at a time, so that two of them
+ * never rely on the same capacity.
  */
 import type { ContractChange, ContractRecord } from '@nettlespur/api.schemas'
 import { readContract } from '@nettlespur/control.state'
@@ -11,19 +12,19 @@
 import type { LeaderSession } from './leaderSession.js'
 import type { ControlNodeOptions } from './nodeOptions.js'
 
-const unknownRetryAfterMs = 1000
+const upstreamsUnknownRetryAfterMs = 1000
 
 export class ContractCalls {
   readonly #opts: ControlNodeOptions
-  #last: Promise<unknown> = Promise.resolve()
+  #lastChange: Promise<unknown> = Promise.resolve()
 
   constructor(opts: ControlNodeOptions) {
     this.#opts = opts
   }
 
   apply(session: LeaderSession, change: ContractChange): Promise<ContractRecord> {
-    const applied = this.#last.then(() => this.#applyNext(session, change))
-    this.#last = applied.catch(() => undefined)
+    const applied = this.#lastChange.then(() => this.#applyNext(session, change))
+    this.#lastChange = applied.catch(() => undefined)
     return applied
   }
 
@@ -41,7 +42,7 @@
     return record
   }
 
-  /** A resent or stale change gets its answer from the log, whatever fits now. */
+  /** Skips resent and stale changes: the log answers those, whether or not they would fit now. */
   #checkFeasible(session: LeaderSession, change: ContractChange): void {
     const { state } = this.#opts.holder
     const { contract, changeId, expectedRevision } = change
@@ -49,18 +50,21 @@
     if (state.hasChange(changeId) || revision !== expectedRevision) return
     const upstreams = session.upstreams.list()
     const wasInUse = state.listContracts().length > 0
-    // A cluster that has never had an upstream cannot be judged; the plan tells what is missing.
+    // A cluster with neither upstreams nor contracts yet cannot be checked; the placement plan reports what
+    // is missing.
     if (upstreams.length === 0 && !wasInUse) return
-    const up = upstreams.map((view) => {
+    const withSuspectsReady = upstreams.map((view) => {
       return view.state === 'suspect' ? { ...view, state: 'ready' as const } : view
     })
     const now = this.#opts.clock.now()
-    const view = createPlacementView({ state, upstreams: up, now })
+    const view = createPlacementView({ state, upstreams: withSuspectsReady, now })
     const infeasible = findInfeasibility(view, contract)
     if (infeasible === undefined) return
     if (!session.knowsUpstreams) {
       const message = 'not all upstreams have announced themselves to the new leader yet'
-      throw new NettlespurError('no-upstream', message, { retryAfterMs: unknownRetryAfterMs })
+      throw new NettlespurError('no-upstream', message, {
+        retryAfterMs: upstreamsUnknownRetryAfterMs,
+      })
     }
     const { message, wouldFit } = infeasible
     throw new NettlespurError('infeasible-contract', message, { hint: `would fit: ${wouldFit}` })
--- a/control/service/src/createPlacementView.ts
+++ b/control/service/src/createPlacementView.ts
@@ -1,4 +1,4 @@
-/** The view a placement decision is taken from: upstreams as heard, everything else as committed. */
+/** Creates the input of a placement round: upstreams as last announced, everything else as committed. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { ControlState, JobRecord } from '@nettlespur/control.state'
 import type { RunTimeCorrection, PlacementView, WaitingJob } from '@nettlespur/placement.engine'
@@ -10,7 +10,7 @@
   now: Date
   /** Whether upstreams have had the time to announce themselves; false by default. */
   upstreamsKnown?: boolean
-  /** Declared run times are taken as they are without it. */
+  /** Corrects declared run times; they are used unchanged without it. */
   correction?: RunTimeCorrection
 }
 
@@ -27,7 +27,7 @@
   }
 }
 
-/** A placement is held until its end is committed, which waits for all its members to have stopped. */
+/** A job occupies its placement until its end is committed, after all of its members have stopped. */
 function toRunningGang(opts: PlacementViewOptions, job: JobRecord): RunningGang[] {
   const { placement, state } = job
   if (placement === undefined) return []
@@ -36,7 +36,7 @@
       ...describeJob(opts, job),
       blocks: placement.members,
       isStopping: state === 'stopping' || job.preemption !== undefined,
-      startedAtMs: state === 'reserving' ? undefined : findLast(job, 'job.started'),
+      startedAtMs: state === 'reserving' ? undefined : findLastEventMs(job, 'job.started'),
       checkpointedAtMs: undefined,
       attempts: job.attempts,
     },
@@ -47,8 +47,8 @@
   const { retryAt } = job
   const submittedAtMs = Date.parse(job.submittedAt)
   const tooEarly = retryAt !== undefined && Date.parse(retryAt) > opts.now.getTime()
-  const heldBack = tooEarly ? `tried again from ${retryAt} on` : undefined
-  const queuedAtMs = findLast(job, 'job.requeued') ?? submittedAtMs
+  const heldBack = tooEarly ? `not retried before ${retryAt}` : undefined
+  const queuedAtMs = findLastEventMs(job, 'job.requeued') ?? submittedAtMs
   return { ...describeJob(opts, job), submittedAtMs, queuedAtMs, holdReason: heldBack }
 }
 
@@ -66,8 +66,8 @@
   }
 }
 
-/** When this last happened to the job. */
-function findLast({ decisions }: JobRecord, event: string): number | undefined {
+/** Returns undefined if the job has no such event. */
+function findLastEventMs({ decisions }: JobRecord, event: string): number | undefined {
   const found = decisions.findLast((decision) => decision.event === event)
   return found === undefined ? undefined : Date.parse(found.at)
 }
--- a/control/service/src/createReport.ts
+++ b/control/service/src/createReport.ts
@@ -1,4 +1,4 @@
-/** Completion times of the jobs that are kept, and the fragmentation of what is free now. */
+/** Reports completion times of the finished jobs still kept, and the fragmentation of free accelerators. */
 import type { Shape, UpstreamView } from '@nettlespur/api.schemas'
 import type { ClusterReport } from '@nettlespur/control.api'
 import type { ControlState, JobRecord } from '@nettlespur/control.state'
@@ -7,7 +7,7 @@
 import { createPlacementView } from './createPlacementView.js'
 
 const highestTrackableMs = 604_800_000
-const middlePercentile = 50
+const medianPercentile = 50
 const highPercentile = 99
 
 type Quantiles = ClusterReport['cluster']['completion']
@@ -37,7 +37,7 @@
   }
 }
 
-/** From submission to end, in milliseconds. */
+/** Measures the time from submission to end. */
 function measureCompletion(jobs: readonly JobRecord[]): Quantiles {
   const histogram = hdr.build({
     highestTrackableValue: highestTrackableMs,
@@ -51,7 +51,7 @@
   return {
     count,
     meanMs: count === 0 ? 0 : histogram.mean,
-    p50Ms: count === 0 ? 0 : histogram.getValueAtPercentile(middlePercentile),
+    p50Ms: count === 0 ? 0 : histogram.getValueAtPercentile(medianPercentile),
     p99Ms: count === 0 ? 0 : histogram.getValueAtPercentile(highPercentile),
   }
 }
@@ -71,7 +71,7 @@
     .reduce((sum, block) => sum + block.acceleratorIndexes.length, 0)
 }
 
-/** The guaranteed and the waiting shapes, each once. */
+/** Lists the distinct shapes of guarantees and of queued jobs. */
 function listShapes(state: ControlState): Shape[] {
   const guaranteed = state.listContracts().flatMap(({ contract }) => contract.guarantees)
   const queued = state.listLiveJobs().filter((job) => job.state === 'queued')
--- a/control/service/src/placementLoop.ts
+++ b/control/service/src/placementLoop.ts
@@ -1,6 +1,6 @@
 /**
- * Takes over placed gangs that nothing runs, places waiting jobs whenever something has changed, and keeps
- * why the others wait.
+ * Takes over placed gangs that have no runner, places waiting jobs whenever the state or the upstreams have
+ * changed, and records why the remaining jobs wait.
  */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import { waitForWake, type GangManager } from '@nettlespur/control.gangs'
@@ -12,16 +12,16 @@
 import { createPlacementView } from './createPlacementView.js'
 import { decideRound, type RoundDecision } from './decideRound.js'
 import { ImpossibleJobs } from './impossibleJobs.js'
-import { listMoves, mayPreempt, type Preemption } from './listMoves.js'
+import { listMoves, canPreempt, type Preemption } from './listMoves.js'
 import type { ControlNodeOptions } from './nodeOptions.js'
 import { RunTimeLearner } from './runTimeLearner.js'
 import type { UpstreamTable } from './upstreamTable.js'
 
-/** Changes within this time are decided on together. */
-const settleMs = 10
+/** Changes within this time are handled in the same round. */
+const batchingDelayMs = 10
 const tickMs = 1000
-/** Lines about jobs that wait in one round; one more line counts the rest. */
-const waitLinesMax = 20
+/** Log lines about waiting jobs in one round; one further line counts the rest. */
+const waitLogLinesMax = 20
 
 export interface PlacementLoopOptions {
   node: ControlNodeOptions
@@ -44,7 +44,7 @@
     this.#impossible = new ImpossibleJobs(opts.node.clock)
   }
 
-  /** Why a job waits, as of the last round; undefined where it does not. */
+  /** Returns why a job waits as of the last round, or undefined if that round left no reason for it. */
   getWaitReason(jobId: string): string | undefined {
     return this.#waitReasons.get(jobId)
   }
@@ -55,27 +55,27 @@
     while (!signal.aborted) {
       const seenIndex = holder.state.appliedIndex
       const seenVersion = version.value
-      await this.#tryPlace(signal)
+      await this.#runRound(signal)
       const wakes = merge(
         holder.applied.pipe(filter((index) => index > seenIndex)),
         version.pipe(filter((value) => value > seenVersion)),
       )
-      await waitForWake(clock, this.#pickPauseMs(), wakes, signal)
-      await clock.sleep(settleMs, signal)
+      await waitForWake(clock, this.#computePauseMs(), wakes, signal)
+      await clock.sleep(batchingDelayMs, signal)
     }
   }
 
-  /** One failed round must not end the loop. */
-  async #tryPlace(signal: AbortSignal): Promise<void> {
+  /** Logs the failure of a round, so that it does not end the loop. */
+  async #runRound(signal: AbortSignal): Promise<void> {
     try {
-      await this.#placeOnce(signal)
+      await this.#decideAndApply(signal)
     } catch (thrown) {
       const reason = toNettlespurError(thrown).message
       this.#opts.node.logger.error({ event: 'placement.round-failed', reason })
     }
   }
 
-  async #placeOnce(signal: AbortSignal): Promise<void> {
+  async #decideAndApply(signal: AbortSignal): Promise<void> {
     const { node, upstreams, gangs } = this.#opts
     upstreams.refresh()
     gangs.recover()
@@ -92,7 +92,7 @@
     })
     const reasons = new Map<string, string>()
     const decisions = decideRound({ policy: node.policy, view, state, now })
-    this.#tellMissing(describeShapes(node.policy.plan.missing))
+    this.#logMissingShapes(describeShapes(node.policy.plan.missing))
     const moves = listMoves(state, views)
     for (const decision of [...moves, ...decisions]) {
       if (signal.aborted) return
@@ -101,16 +101,16 @@
       else reasons.set(decision.jobId, decision.reason)
     }
     await this.#refuseImpossible(decisions)
-    this.#keepReasons(reasons)
+    this.#updateWaitReasons(reasons)
   }
 
-  /** The runner of the gang is woken by the change of its job. */
+  /** Commits the preemption; the resulting change of the job wakes the gang's runner, which stops it. */
   async #preempt(decision: Preemption): Promise<void> {
     const { log, logger, clock, holder } = this.#opts.node
     const { jobId, forJobId, withCheckpoint, reason } = decision
     const job = holder.state.getLiveJob(jobId)
     const fence = job?.placement?.fence
-    if (job === undefined || fence === undefined || !mayPreempt(job, clock.now())) return
+    if (job === undefined || fence === undefined || !canPreempt(job, clock.now())) return
     const at = clock.now().toISOString()
     const command = { type: 'job.preempt' as const, at, jobId, fence, withCheckpoint, reason }
     const proposed = forJobId === undefined ? command : { ...command, forJobId }
@@ -125,7 +125,7 @@
     })
   }
 
-  /** A job that has long been told to be impossible is ended; until then it waits. */
+  /** Ends jobs that placement has refused for long enough; until then they wait. */
   async #refuseImpossible(decisions: readonly RoundDecision[]): Promise<void> {
     const { log, logger, clock } = this.#opts.node
     if (!this.#opts.knowsUpstreams()) return
@@ -162,8 +162,8 @@
     })
   }
 
-  /** A guaranteed shape that no accelerators can be kept for is an alarm, and so is the end of one. */
-  #tellMissing(missing: string): void {
+  /** Logs an error when guaranteed shapes lack accelerators, and an info line when none lacks any more. */
+  #logMissingShapes(missing: string): void {
     if (missing === this.#missingShapes) return
     this.#missingShapes = missing
     const { logger } = this.#opts.node
@@ -171,19 +171,19 @@
     else logger.error({ event: 'plan.infeasible', missing })
   }
 
-  #keepReasons(reasons: Map<string, string>): void {
+  #updateWaitReasons(reasons: Map<string, string>): void {
     const { logger } = this.#opts.node
     const changed = [...reasons].filter(([id, reason]) => this.#waitReasons.get(id) !== reason)
-    for (const [jobId, reason] of changed.slice(0, waitLinesMax)) {
+    for (const [jobId, reason] of changed.slice(0, waitLogLinesMax)) {
       logger.info({ event: 'placement.waits', jobId, reason })
     }
-    const more = changed.length - waitLinesMax
+    const more = changed.length - waitLogLinesMax
     if (more > 0) logger.info({ event: 'placement.more-wait', jobs: more })
     this.#waitReasons = reasons
   }
 
-  /** Until the next tick, or until a job that was tried may be tried again. */
-  #pickPauseMs(): number {
+  /** Returns the time until the next tick, or until the `retryAt` of a queued job if that is sooner. */
+  #computePauseMs(): number {
     const { holder, clock } = this.#opts.node
     const nowMs = clock.now().getTime()
     const due = holder.state
--- a/control/service/src/upstreamTable.ts
+++ b/control/service/src/upstreamTable.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams as their announcements show them: soft state of the leader, made anew by each. Without
- * announcements an upstream becomes suspect, then gone; one that says it is leaving is so at once.
+ * The upstreams as last announced: soft state that each leader rebuilds. An upstream that stops announcing
+ * becomes suspect, then gone; one that announces that it is leaving is marked so at once.
  */
 import type { Announcement, UpstreamState, UpstreamView } from '@nettlespur/api.schemas'
 import type { UpstreamHealth } from '@nettlespur/control.state'
@@ -8,7 +8,7 @@
 import type { Logger } from '@nettlespur/core.logger'
 import { Subject, type BehaviorSubject, type Observable } from 'rxjs'
 
-/** Times of `upstreamGoneMs` after which a gone upstream is forgotten. */
+/** A gone upstream is removed after this multiple of `goneMs`. */
 const forgetFactor = 60
 const silentStates: ReadonlySet<UpstreamState> = new Set(['suspect', 'gone'])
 
@@ -17,16 +17,16 @@
   logger: Logger
   suspectMs: number
   goneMs: number
-  /** What the replicated state holds against an upstream. */
+  /** Reads the failure marks and the quarantine of an upstream from the replicated state. */
   readHealth: (upstreamId: string) => UpstreamHealth | undefined
-  /** Raised with each change that entries must learn of. */
+  /** Incremented with each change that entries must learn of. */
   version: BehaviorSubject<number>
 }
 
 interface Row {
   readonly view: UpstreamView
   readonly heardMs: number
-  /** When it last said that it is leaving. */
+  /** Monotonic time of the last announcement that it is leaving. */
   readonly leavingMs: number | undefined
   readonly version: number
 }
@@ -40,14 +40,14 @@
     this.#opts = opts
   }
 
-  /** The id of each upstream whose view has changed. */
+  /** Emits the id of each upstream whose view has changed. */
   get changes(): Observable<string> {
     return this.#changes
   }
 
   /**
-   * Whether an upstream is not heard from although at least half of all are. Where fewer are heard, it may
-   * be this leader that is cut off.
+   * Whether an upstream is silent while at least half of all upstreams are not. If fewer are heard, this
+   * leader itself may be cut off.
    */
   isSilent(upstreamId: string): boolean {
     const row = this.#rows.get(upstreamId)
@@ -60,50 +60,53 @@
     return [...this.#rows.values()].map((row) => row.view)
   }
 
-  /** Those that changed after `version`. */
+  /** Lists upstreams that changed after `version`. */
   listSince(version: number): UpstreamView[] {
     return [...this.#rows.values()].filter((row) => row.version > version).map((row) => row.view)
   }
 
-  /** Announcements of one upstream may overtake each other: a fresh leaving outweighs a ready after it. */
-  hear(upstreamId: string, announcement: Announcement): void {
+  /**
+   * Records an announcement. Announcements of one upstream may arrive out of order, so `leaving` prevails
+   * over a `ready` that arrives within `suspectMs` after it.
+   */
+  recordAnnouncement(upstreamId: string, announcement: Announcement): void {
     const nowMs = this.#opts.clock.monotonicMs()
     const former = this.#rows.get(upstreamId)
     const leavingMs = announcement.state === 'leaving' ? nowMs : former?.leavingMs
     const leaving = leavingMs !== undefined && nowMs - leavingMs < this.#opts.suspectMs
-    const state = leaving ? 'leaving' : this.#readyOrQuarantined(upstreamId)
+    const state = leaving ? 'leaving' : this.#pickReadyOrQuarantined(upstreamId)
     const view = toView(upstreamId, announcement, state)
-    this.#put({ view, heardMs: nowMs, leavingMs })
+    this.#updateRow({ view, heardMs: nowMs, leavingMs })
   }
 
-  /** Moves silent upstreams on; called often. */
+  /** Updates the states of upstreams by their silence and quarantine; called periodically. */
   refresh(): void {
     const { clock, goneMs } = this.#opts
     for (const row of this.#rows.values()) {
       const silentMs = clock.monotonicMs() - row.heardMs
-      const state = this.#pickState(row, silentMs)
-      if (state !== row.view.state) this.#put({ ...row, view: { ...row.view, state } })
+      const state = this.#computeState(row, silentMs)
+      if (state !== row.view.state) this.#updateRow({ ...row, view: { ...row.view, state } })
       if (silentMs > goneMs * forgetFactor) this.#rows.delete(row.view.upstreamId)
     }
   }
 
-  #pickState({ view }: Row, silentMs: number): UpstreamState {
+  #computeState({ view }: Row, silentMs: number): UpstreamState {
     const { suspectMs, goneMs } = this.#opts
     if (silentMs >= goneMs) return 'gone'
     if (view.state !== 'ready' && view.state !== 'quarantined') return view.state
-    return silentMs >= suspectMs ? 'suspect' : this.#readyOrQuarantined(view.upstreamId)
+    return silentMs >= suspectMs ? 'suspect' : this.#pickReadyOrQuarantined(view.upstreamId)
   }
 
-  #readyOrQuarantined(upstreamId: string): UpstreamState {
+  #pickReadyOrQuarantined(upstreamId: string): UpstreamState {
     const quarantine = this.#opts.readHealth(upstreamId)?.quarantine
     return quarantine === undefined ? 'ready' : 'quarantined'
   }
 
-  #put(row: Omit<Row, 'version'>): void {
+  #updateRow(row: Omit<Row, 'version'>): void {
     const { version, logger } = this.#opts
     const { upstreamId, address, state } = row.view
     const former = this.#rows.get(upstreamId)
-    if (former !== undefined && isSame(former.view, row.view)) {
+    if (former !== undefined && isSameView(former.view, row.view)) {
       this.#rows.set(upstreamId, { ...row, version: former.version })
       return
     }
@@ -141,6 +144,6 @@
   }
 }
 
-function isSame(left: UpstreamView, right: UpstreamView): boolean {
+function isSameView(left: UpstreamView, right: UpstreamView): boolean {
   return JSON.stringify(left) === JSON.stringify(right)
 }
--- a/control/service/test/placementLoop.test.ts
+++ b/control/service/test/placementLoop.test.ts
@@ -6,11 +6,18 @@
   type PlacementView,
 } from '@nettlespur/placement.engine'
 import test, { type ExecutionContext } from 'ava'
-import { announcement, change, runUntil, startNode, submit, type TestNode } from './startNode.js'
+import {
+  announcement,
+  createContractChange,
+  runUntil,
+  startNode,
+  submit,
+  type TestNode,
+} from './startNode.js'
 
 const gang = { accelerators: 8, adjacency: 'upstream' as const }
 
-/** Decides as the policy for completion time does, and whatever a test adds. */
+/** Returns decisions that a test adds, followed by those of the `completionTime` policy. */
 class ScriptedPolicy extends PlacementPolicy {
   readonly #policy = createPolicy('completionTime')
   extra: (view: PlacementView) => PlacementDecision[] = () => []
@@ -23,7 +30,7 @@
 async function startScripted(t: ExecutionContext) {
   const policy = new ScriptedPolicy()
   const node = await startNode(t, undefined, policy)
-  await unwrap(node.node.applyContract(change('one', 0)))
+  await unwrap(node.node.applyContract(createContractChange('one', 0)))
   await announce(node, 'u1', 'ready')
   return { node, policy }
 }
@@ -35,35 +42,35 @@
   await unwrap(node.announce({ items }))
 }
 
-test('urgent work runs within a second of its submission where a victim may be stopped', async (t) => {
+test('urgent work runs within a second of its submission if a running job can be preempted', async (t) => {
   const { node } = await startScripted(t)
   const victim = await submit(node, { gang, repeatable: true })
-  await runUntil(node, () => node.client.stateOf(`${victim}.1.0`) === 'running')
+  await runUntil(node, () => node.client.getState(`${victim}.1.0`) === 'running')
   const submittedMs = node.clock.monotonicMs()
   const urgent = await submit(node, { gang, urgency: 'urgent' })
-  await runUntil(node, () => node.client.stateOf(`${urgent}.1.0`) === 'running')
+  await runUntil(node, () => node.client.getState(`${urgent}.1.0`) === 'running')
   t.true(node.clock.monotonicMs() - submittedMs < 1000)
-  t.is(node.client.stateOf(`${victim}.1.0`), 'stopped')
+  t.is(node.client.getState(`${victim}.1.0`), 'stopped')
   t.like(node.holder.state.getLiveJob(victim), { state: 'queued', failedAttempts: 0 })
   const lines = node.lines.filter((line) => line.includes('event=placement.preempted'))
   t.is(lines.length, 1)
 })
 
-test('a gang that may be stopped moves off a leaving upstream, and another one stays', async (t) => {
+test('a repeatable gang moves off a leaving upstream, and one that is not repeatable stays', async (t) => {
   const { node } = await startScripted(t)
   const half = { accelerators: 4, adjacency: 'upstream' as const }
   const moves = await submit(node, { gang: half, repeatable: true })
   const stays = await submit(node, { gang: half, repeatable: false })
-  const isRunning = (taskId: string) => node.client.stateOf(taskId) === 'running'
+  const isRunning = (taskId: string) => node.client.getState(taskId) === 'running'
   await runUntil(node, () => [moves, stays].every((id) => isRunning(`${id}.1.0`)))
   await announce(node, 'u2', 'ready')
   await announce(node, 'u1', 'leaving')
   await runUntil(node, () => isRunning(`${moves}.2.0`))
-  t.is(node.client.stateOf(`${moves}.1.0`), 'stopped')
+  t.is(node.client.getState(`${moves}.1.0`), 'stopped')
   t.true(isRunning(`${stays}.1.0`))
 })
 
-test('a job told impossible is ended after a minute, with its reason and as not run', async (t) => {
+test('a job that placement refuses for a minute ends with the reason and without a start', async (t) => {
   const { node, policy } = await startScripted(t)
   const jobId = await submit(node, { gang: { accelerators: 64, adjacency: 'upstream' } })
   policy.extra = ({ waiting }) =>
@@ -84,10 +91,10 @@
   t.is(ended?.startedAt, undefined)
 })
 
-test('explain tells what is asked, who holds it, and who waits before', async (t) => {
+test('an explanation names the requested shape, the holders of the accelerators and the jobs ahead', async (t) => {
   const { node } = await startScripted(t)
   const holder = await submit(node, { gang, repeatable: true })
-  await runUntil(node, () => node.client.stateOf(`${holder}.1.0`) === 'running')
+  await runUntil(node, () => node.client.getState(`${holder}.1.0`) === 'running')
   const ahead = await submit(node, { gang })
   const jobId = await submit(node, { gang })
   await runUntil(node, () => node.lines.some((line) => line.includes(`jobId=${jobId} reason=`)))
@@ -98,7 +105,7 @@
   t.regex(text, new RegExp(`1 jobs were submitted before it and wait too.*${ahead}`))
 })
 
-test('a round in which many jobs wait leaves a bounded number of lines', async (t) => {
+test('a round in which many jobs wait writes a bounded number of log lines', async (t) => {
   const { node } = await startScripted(t)
   await submit(node, { gang })
   await Promise.all([...Array(60).keys()].map(() => submit(node, { gang })))
