--- a/entry/claims/src/claimChanges.ts
+++ b/entry/claims/src/claimChangeSender.ts
@@ -15,8 +15,8 @@
 import { Left, type Either } from 'purify-ts'
 
 const changesPerCallMax = 64
-const callsAtOnceMax = 4
-const pauseMs = 100
+const concurrentCallsMax = 4
+const retryPauseMs = 100
 
 /** Failures that leave open whether control has taken the change, or that a change of leader explains. */
 export const transientKinds: ReadonlySet<ErrorKind> = new Set([
@@ -26,18 +26,18 @@
   'no-quorum',
 ])
 
-type Result = Either<NettlespurError, Claim>
+type ClaimResult = Either<NettlespurError, Claim>
 
-interface Waiting {
+interface PendingChange {
   readonly change: ClaimChange
-  readonly resolve: (result: Result) => void
+  readonly resolve: (result: ClaimResult) => void
 }
 
-export class ClaimChanges {
+export class ClaimChangeSender {
   readonly #clock: Clock
   readonly #control: Pick<ControlApi, 'changeClaims'>
-  #waiting: Waiting[] = []
-  #calls = 0
+  #pending: PendingChange[] = []
+  #callsInFlight = 0
 
   constructor(clock: Clock, control: Pick<ControlApi, 'changeClaims'>) {
     this.#clock = clock
@@ -51,36 +51,39 @@
       if (result.isRight()) return result.unsafeCoerce()
       const error = toNettlespurError(result.extract())
       if (!transientKinds.has(error.kind)) throw error
-      if (this.#clock.monotonicMs() + pauseMs >= deadlineAtMs) throw error
-      await this.#clock.sleep(pauseMs)
+      if (this.#clock.monotonicMs() + retryPauseMs >= deadlineAtMs) throw error
+      await this.#clock.sleep(retryPauseMs)
     }
   }
 
-  #send(change: ClaimChange): Promise<Result> {
+  #send(change: ClaimChange): Promise<ClaimResult> {
     return new Promise((resolve) => {
-      this.#waiting.push({ change, resolve })
-      this.#callNext()
+      this.#pending.push({ change, resolve })
+      this.#sendNextBatch()
     })
   }
 
-  #callNext(): void {
-    if (this.#waiting.length === 0 || this.#calls >= callsAtOnceMax) return
-    const batch = this.#waiting.splice(0, changesPerCallMax)
-    this.#calls += 1
-    void this.#call(batch).finally(() => {
-      this.#calls -= 1
-      this.#callNext()
+  #sendNextBatch(): void {
+    if (this.#pending.length === 0 || this.#callsInFlight >= concurrentCallsMax) return
+    const batch = this.#pending.splice(0, changesPerCallMax)
+    this.#callsInFlight += 1
+    void this.#sendBatch(batch).finally(() => {
+      this.#callsInFlight -= 1
+      this.#sendNextBatch()
     })
   }
 
-  async #call(batch: readonly Waiting[]): Promise<void> {
+  async #sendBatch(batch: readonly PendingChange[]): Promise<void> {
     const changes = batch.map(({ change }) => change)
-    const failed = new NettlespurError('outcome-unknown', 'control gave no result for this claim')
+    const missingResult = new NettlespurError(
+      'outcome-unknown',
+      'control gave no result for this claim',
+    )
     try {
       const results = await unwrap(this.#control.changeClaims(changes))
       batch.forEach(({ resolve }, index) => {
         const result = results[index]
-        resolve(result === undefined ? Left(failed) : fromRpcResult(result))
+        resolve(result === undefined ? Left(missingResult) : fromRpcResult(result))
       })
     } catch (thrown) {
       for (const { resolve } of batch) resolve(Left(toNettlespurError(thrown)))
--- a/entry/claims/src/claimingRouter.ts
+++ b/entry/claims/src/claimingRouter.ts
@@ -12,12 +12,12 @@
 import { RequestRouter, type ShortAnswer, type ShortRequest } from '@nettlespur/entry.requests'
 import type { EitherAsync } from 'purify-ts'
 import type { AnswerCollector } from './answerCollector.js'
-import { ClaimChanges, transientKinds } from './claimChanges.js'
-import { createUnknownError, OutcomeReader } from './outcomeReader.js'
+import { ClaimChangeSender, transientKinds } from './claimChangeSender.js'
+import { createOutcomeUnknownError, OutcomeReader } from './outcomeReader.js'
 import { RequestClaim } from './requestClaim.js'
 
 /** How long the outcome of an answered request is offered to control; later control collects it itself. */
-const recordPatienceMs = 10_000
+const recordTimeoutMs = 10_000
 
 export interface ClaimingRouterOptions {
   clock: Clock
@@ -31,17 +31,17 @@
 
 export class ClaimingRouter extends RequestRouter {
   readonly #opts: ClaimingRouterOptions
-  readonly #changes: ClaimChanges
+  readonly #changes: ClaimChangeSender
   readonly #abandoned = new AbortController()
   readonly #outcomes: OutcomeReader
   /** Tasks whose outcome this process still means to record. */
-  readonly #tasks = new Set<string>()
-  readonly #records = new Set<Promise<void>>()
+  readonly #activeTaskIds = new Set<string>()
+  readonly #pendingRecords = new Set<Promise<void>>()
 
   constructor(opts: ClaimingRouterOptions) {
     super()
     this.#opts = opts
-    this.#changes = new ClaimChanges(opts.clock, opts.control)
+    this.#changes = new ClaimChangeSender(opts.clock, opts.control)
     this.#outcomes = new OutcomeReader({ ...opts, abandoned: this.#abandoned.signal })
   }
 
@@ -57,7 +57,7 @@
 
   /** Resolves once the outcomes of all answered requests are recorded or given up. */
   async flush(): Promise<void> {
-    await Promise.all(this.#records)
+    await Promise.all(this.#pendingRecords)
   }
 
   async #runClaimed(request: ShortRequest): Promise<ShortAnswer> {
@@ -68,19 +68,23 @@
     const result = await this.#opts.router.run({ ...request, claim }).run()
     if (result.isRight()) {
       const answer = result.unsafeCoerce()
-      this.#record(claim, tasks, toOutcome(answer))
+      this.#recordInBackground(claim, tasks, toOutcome(answer))
       return answer
     }
     const error = toNettlespurError(result.extract())
-    if (claim.held !== undefined && claim.found === undefined && error.answer.ran !== 'no') {
+    if (
+      claim.committed !== undefined &&
+      claim.existing === undefined &&
+      error.answer.ran !== 'no'
+    ) {
       // Handed to control at once: it asks the upstream while this request still has time to wait.
-      this.#record(claim, tasks, { kind: 'unknown', reason: error.message })
-      return this.#outcomes.read(request, claim.held)
+      this.#recordInBackground(claim, tasks, { kind: 'unknown', reason: error.message })
+      return this.#outcomes.read(request, claim.committed)
     }
     try {
       return await this.#answerUnsent(request, key, claim, error)
     } finally {
-      this.#forget(tasks)
+      this.#forgetTasks(tasks)
     }
   }
 
@@ -96,7 +100,7 @@
       monotonicMs: () => clock.monotonicMs(),
       onTask: (taskId) => {
         tasks.push(taskId)
-        this.#tasks.add(taskId)
+        this.#activeTaskIds.add(taskId)
       },
     })
   }
@@ -108,10 +112,11 @@
     claim: RequestClaim,
     error: NettlespurError,
   ): Promise<ShortAnswer> {
-    if (claim.found !== undefined) return this.#readFound(request, claim.found)
-    if (claim.held !== undefined) return this.#settleNotRun(request, claim, claim.held, error)
-    if (claim.asked) {
-      throw transientKinds.has(error.kind) ? createUnknownError(error.message, error) : error
+    if (claim.existing !== undefined) return this.#readFound(request, claim.existing)
+    if (claim.committed !== undefined)
+      return this.#settleNotRun(request, claim, claim.committed, error)
+    if (claim.hasAskedControl) {
+      throw transientKinds.has(error.kind) ? createOutcomeUnknownError(error.message, error) : error
     }
     const known = await this.#outcomes.find(request, key)
     if (known === null || known.outcome?.kind === 'not-run') throw error
@@ -128,7 +133,8 @@
     const endMs = Math.max(request.deadlineAtMs, clock.monotonicMs())
     const outcome = { kind: 'not-run' as const, reason: error.message }
     const settled = await tryAsync(() => claim.settle(held, outcome, endMs)).run()
-    if (settled.isLeft()) throw createUnknownError('control cannot tell what became of its key')
+    if (settled.isLeft())
+      throw createOutcomeUnknownError('control cannot tell what became of its key')
     const known = settled.unsafeCoerce()
     if (known.outcome?.kind === 'not-run') throw error
     return this.#readFound(request, known)
@@ -145,7 +151,7 @@
   /** A claim of this entry that this process does not run was left behind by a former process. */
   async #releaseOrphan(request: ShortRequest, { outcome, ...found }: Claim): Promise<void> {
     const { entryId } = this.#opts
-    const isOrphan = found.entryId === entryId && !this.#tasks.has(found.target.taskId)
+    const isOrphan = found.entryId === entryId && !this.#activeTaskIds.has(found.target.taskId)
     if (outcome !== undefined || !isOrphan) return
     const { workspace, key, fence } = found
     const unknown = { kind: 'unknown' as const, reason: 'its entry has restarted' }
@@ -154,10 +160,10 @@
   }
 
   /** Records an outcome in the background: the caller has its answer and need not wait. */
-  #record(claim: RequestClaim, tasks: readonly string[], outcome: ClaimOutcome): void {
-    const { held } = claim
+  #recordInBackground(claim: RequestClaim, tasks: readonly string[], outcome: ClaimOutcome): void {
+    const { committed: held } = claim
     if (held === undefined) return
-    const endMs = this.#opts.clock.monotonicMs() + recordPatienceMs
+    const endMs = this.#opts.clock.monotonicMs() + recordTimeoutMs
     const recorded = claim
       .settle(held, outcome, endMs)
       .then(
@@ -169,14 +175,14 @@
         },
       )
       .finally(() => {
-        this.#forget(tasks)
-        this.#records.delete(recorded)
+        this.#forgetTasks(tasks)
+        this.#pendingRecords.delete(recorded)
       })
-    this.#records.add(recorded)
+    this.#pendingRecords.add(recorded)
   }
 
-  #forget(tasks: readonly string[]): void {
-    for (const taskId of tasks) this.#tasks.delete(taskId)
+  #forgetTasks(tasks: readonly string[]): void {
+    for (const taskId of tasks) this.#activeTaskIds.delete(taskId)
   }
 }
 
--- a/entry/claims/src/outcomeReader.ts
+++ b/entry/claims/src/outcomeReader.ts
@@ -6,12 +6,12 @@
 import type { ShortAnswer, ShortRequest } from '@nettlespur/entry.requests'
 import type { TypedAnswer } from '@nettlespur/upstream.client'
 import type { AnswerCollector } from './answerCollector.js'
-import { transientKinds } from './claimChanges.js'
+import { transientKinds } from './claimChangeSender.js'
 
-const askMsMax = 1000
-const pauseMs = 100
+const awaitCallMsMax = 1000
+const retryPauseMs = 100
 const retryAfterMs = 1000
-const askAgainHint = 'send it again with the same key and body to learn of its outcome'
+const resendHint = 'send it again with the same key and body to learn of its outcome'
 
 export interface OutcomeReaderOptions {
   clock: Clock
@@ -32,42 +32,48 @@
   async find(request: ShortRequest, key: string): Promise<Claim | null> {
     const { clock } = this.#opts
     const endMs = Math.max(request.deadlineAtMs, clock.monotonicMs())
-    return this.#ask(request.workspace, key, 0, endMs)
+    return this.#queryClaim(request.workspace, key, 0, endMs)
   }
 
   /** Waits for the outcome until the request's deadline. Throws what stands for any but an answer. */
   async read(request: ShortRequest, claim: Claim): Promise<ShortAnswer> {
     const { clock, abandoned } = this.#opts
-    const givenUp = AbortSignal.any([request.callerGone, abandoned])
-    const ended = whenAborted(givenUp)
+    const stopSignal = AbortSignal.any([request.callerGone, abandoned])
+    const stopped = whenAborted(stopSignal)
     let known: Claim | null = claim
     for (;;) {
-      if (known === null) throw createUnknownError('its claim is no longer kept')
+      if (known === null) throw createOutcomeUnknownError('its claim is no longer kept')
       const { outcome } = known
       if (outcome !== undefined && outcome.kind !== 'unknown') {
         return this.#toAnswer(request, known, outcome)
       }
-      const leftMs = request.deadlineAtMs - clock.monotonicMs()
-      if (givenUp.aborted || leftMs <= 0) {
-        throw createUnknownError(outcome?.reason ?? 'it runs still')
+      const remainingMs = request.deadlineAtMs - clock.monotonicMs()
+      if (stopSignal.aborted || remainingMs <= 0) {
+        throw createOutcomeUnknownError(outcome?.reason ?? 'it runs still')
       }
-      const waitMs = Math.ceil(Math.min(askMsMax, leftMs))
-      const asked = this.#ask(request.workspace, claim.key, waitMs, request.deadlineAtMs)
-      known = await Promise.race([asked, ended.then(() => claim)])
-      if (known !== null && isOpen(known)) await clock.sleep(Math.min(pauseMs, leftMs), givenUp)
+      const waitMs = Math.ceil(Math.min(awaitCallMsMax, remainingMs))
+      const asked = this.#queryClaim(request.workspace, claim.key, waitMs, request.deadlineAtMs)
+      known = await Promise.race([asked, stopped.then(() => claim)])
+      if (known !== null && isOpen(known))
+        await clock.sleep(Math.min(retryPauseMs, remainingMs), stopSignal)
     }
   }
 
-  async #ask(workspace: string, key: string, waitMs: number, endMs: number): Promise<Claim | null> {
+  async #queryClaim(
+    workspace: string,
+    key: string,
+    waitMs: number,
+    endMs: number,
+  ): Promise<Claim | null> {
     const { clock, control } = this.#opts
     for (;;) {
       const asked = await control.awaitClaim({ workspace, key, waitMs }).run()
       if (asked.isRight()) return asked.extract()
       const error = toNettlespurError(asked.extract())
-      if (!transientKinds.has(error.kind) || clock.monotonicMs() + pauseMs >= endMs) {
-        throw createUnknownError('control cannot tell what became of its key', error)
+      if (!transientKinds.has(error.kind) || clock.monotonicMs() + retryPauseMs >= endMs) {
+        throw createOutcomeUnknownError('control cannot tell what became of its key', error)
       }
-      await clock.sleep(pauseMs)
+      await clock.sleep(retryPauseMs)
     }
   }
 
@@ -104,14 +110,14 @@
         throw new NettlespurError('answer-expired', 'its upstream holds another answer')
       } catch (thrown) {
         const error = toNettlespurError(thrown)
-        const mayCome = transientKinds.has(error.kind)
-        if (!mayCome || clock.monotonicMs() + pauseMs >= request.deadlineAtMs) {
+        const isTransient = transientKinds.has(error.kind)
+        if (!isTransient || clock.monotonicMs() + retryPauseMs >= request.deadlineAtMs) {
           throw new NettlespurError('answer-expired', `it ran; its answer: ${error.message}`, {
-            hint: mayCome ? askAgainHint : undefined,
+            hint: isTransient ? resendHint : undefined,
             cause: error,
           })
         }
-        await clock.sleep(pauseMs)
+        await clock.sleep(retryPauseMs)
       }
     }
   }
@@ -131,6 +137,6 @@
   return outcome === undefined || outcome.kind === 'unknown'
 }
 
-export function createUnknownError(reason: string, cause?: unknown): NettlespurError {
-  return new NettlespurError('outcome-unknown', reason, { hint: askAgainHint, cause })
+export function createOutcomeUnknownError(reason: string, cause?: unknown): NettlespurError {
+  return new NettlespurError('outcome-unknown', reason, { hint: resendHint, cause })
 }
--- a/entry/claims/src/requestClaim.ts
+++ b/entry/claims/src/requestClaim.ts
@@ -2,10 +2,10 @@
 import type { Claim, ClaimChange, ClaimOutcome, UpstreamView } from '@nettlespur/api.schemas'
 import { NettlespurError } from '@nettlespur/core.errors'
 import { DispatchClaim } from '@nettlespur/entry.requests'
-import type { ClaimChanges } from './claimChanges.js'
+import type { ClaimChangeSender } from './claimChangeSender.js'
 
 export interface RequestClaimOptions {
-  changes: ClaimChanges
+  changes: ClaimChangeSender
   entryId: string
   workspace: string
   key: string
@@ -18,11 +18,11 @@
 
 export class RequestClaim extends DispatchClaim {
   /** Set once control was asked to open it: from then on a claim may stand there. */
-  asked = false
+  hasAskedControl = false
   /** As committed for this request. */
-  held: Claim | undefined
+  committed: Claim | undefined
   /** What stood under the key, or has overtaken this request. */
-  found: Claim | undefined
+  existing: Claim | undefined
   readonly #opts: RequestClaimOptions
 
   constructor(opts: RequestClaimOptions) {
@@ -37,17 +37,17 @@
   }): Promise<number> {
     const { changes, deadlineAtMs, monotonicMs, onTask } = this.#opts
     onTask(target.taskId)
-    this.asked = true
+    this.hasAskedControl = true
     const claim = await changes.commit(this.#createChange(target), deadlineAtMs)
     const isOwn =
       claim.target.taskId === target.taskId &&
       claim.target.attempt === target.attempt &&
       claim.outcome === undefined
     if (!isOwn) {
-      this.found = claim
+      this.existing = claim
       throw new NettlespurError('outcome-unknown', 'its key is claimed already')
     }
-    this.held = claim
+    this.committed = claim
     if (monotonicMs() < deadlineAtMs) return claim.fence
     throw new NettlespurError('deadline-before-start', 'its deadline passed while it was claimed')
   }
@@ -74,8 +74,8 @@
     const { entryId, workspace, key, bodySha256, deadlineAtMs, monotonicMs } = this.#opts
     const { upstreamId, address, session } = upstream
     const target = { upstreamId, address, taskId, attempt, ...(session && { session }) }
-    if (this.held !== undefined) {
-      return { type: 'move', workspace, key, fence: this.held.fence, entryId, target }
+    if (this.committed !== undefined) {
+      return { type: 'move', workspace, key, fence: this.committed.fence, entryId, target }
     }
     const remainingMs = Math.max(0, Math.ceil(deadlineAtMs - monotonicMs()))
     return { type: 'open', workspace, key, bodySha256, entryId, target, remainingMs }
--- a/entry/claims/test/claimingRouter.test.ts
+++ b/entry/claims/test/claimingRouter.test.ts
@@ -83,14 +83,14 @@
   readonly result: Either<NettlespurError, ShortAnswer>
 }
 
-interface Played {
+interface Scenario {
   readonly played: readonly Step[]
   readonly script: readonly Fault[]
   readonly delaysMs: readonly number[]
 }
 
 /** Plays the steps, then lets everything end, and asks once more for each key. */
-async function play({ played, script, delaysMs }: Played, onReply: OnReply) {
+async function runScenario({ played, script, delaysMs }: Scenario, onReply: OnReply) {
   const trial = new ClaimTrial()
   trial.upstreams.script.push(...script)
   trial.upstreams.statusDelaysMs.push(...delaysMs)
@@ -148,19 +148,22 @@
       const answers = new Map<string, Set<string>>()
       const denied: { key: string; taskIds: string[] }[] = []
       let replies = 0
-      const trial = await play({ played, script, delaysMs }, ({ upstreams }, { key, result }) => {
-        replies += 1
-        result.ifRight((answer) => {
-          answers.set(key, (answers.get(key) ?? new Set()).add(readText(answer.body)))
-        })
-        result.ifLeft((error) => {
-          if (error.answer.ran !== 'no' || error.kind === 'idempotency-conflict') return
-          const ran = upstreams.started.filter((task) => task.key === key)
-          t.is(ran.length, 0, `told that it did not run: ${error.message}`)
-          const taskIds = upstreams.sent.filter((task) => task.key === key)
-          denied.push({ key, taskIds: taskIds.map(({ taskId }) => taskId) })
-        })
-      })
+      const trial = await runScenario(
+        { played, script, delaysMs },
+        ({ upstreams }, { key, result }) => {
+          replies += 1
+          result.ifRight((answer) => {
+            answers.set(key, (answers.get(key) ?? new Set()).add(readText(answer.body)))
+          })
+          result.ifLeft((error) => {
+            if (error.answer.ran !== 'no' || error.kind === 'idempotency-conflict') return
+            const ran = upstreams.started.filter((task) => task.key === key)
+            t.is(ran.length, 0, `told that it did not run: ${error.message}`)
+            const taskIds = upstreams.sent.filter((task) => task.key === key)
+            denied.push({ key, taskIds: taskIds.map(({ taskId }) => taskId) })
+          })
+        },
+      )
       const { started } = trial.upstreams
       for (const key of ['a', 'b']) {
         const runs = started.filter((task) => task.key === key)
@@ -231,7 +234,7 @@
   t.true(answer.endsWith(body))
   const outcome = trial.control.claims.get({ workspace: 'thapa', key: 'a' })?.outcome
   t.like(outcome, { kind: 'answered', bodyBytes: answer.length, bodyBase64: undefined })
-  t.is(trial.upstreams.collected, 1, 'by the entry alone')
+  t.is(trial.upstreams.collectedCount, 1, 'by the entry alone')
   t.is(trial.upstreams.started.length, 1)
   trial.end()
 })
--- a/entry/claims/test/memoryUpstreams.ts
+++ b/entry/claims/test/memoryUpstreams.ts
@@ -23,10 +23,10 @@
   /** How late the next answers about tasks are, in milliseconds. */
   readonly statusDelaysMs: number[] = []
   /** Answers collected again. */
-  collected = 0
+  collectedCount = 0
   readonly #clock: Clock
   readonly #tasks = new Map<string, Task>()
-  #held: (() => void)[] = []
+  #paused: (() => void)[] = []
 
   constructor(clock: Clock) {
     this.#clock = clock
@@ -34,8 +34,8 @@
 
   /** Lets everything go on that is late or slow. */
   release(): void {
-    const held = this.#held
-    this.#held = []
+    const held = this.#paused
+    this.#paused = []
     for (const resume of held) resume()
   }
 
@@ -45,18 +45,18 @@
     const key = String(task.key)
     this.sent.push({ key, taskId: task.taskId })
     if (fault === 'not-sent') return { kind: 'not-sent', error }
-    if (fault === 'late-refuse') await this.#hold()
+    if (fault === 'late-refuse') await this.#pauseUntilReleased()
     if (fault === 'refuse' || fault === 'late-refuse') return { kind: 'refused', error }
-    if (fault === 'late' || fault === 'late-lose') await this.#hold()
-    const known = this.#tasks.get(nameOf(task.address, task.taskId))
+    if (fault === 'late' || fault === 'late-lose') await this.#pauseUntilReleased()
+    const known = this.#tasks.get(createTaskKey(task.address, task.taskId))
     if (known !== undefined && (known.fence > task.fence || known.state === 'never-runs')) {
       return { kind: 'refused', error }
     }
     const body = Buffer.from(`${task.taskId} answers ${task.body.toString()}`)
     const started: Task = { fence: task.fence, state: 'running', body }
-    this.#tasks.set(nameOf(task.address, task.taskId), started)
+    this.#tasks.set(createTaskKey(task.address, task.taskId), started)
     this.started.push({ key, taskId: task.taskId })
-    if (fault === 'slow') await this.#hold()
+    if (fault === 'slow') await this.#pauseUntilReleased()
     if (started.state === 'running') started.state = 'finished'
     if (fault === 'lose' || fault === 'late-lose' || started.state !== 'finished') {
       return { kind: 'lost', error }
@@ -73,10 +73,10 @@
 
   stop({ address, taskId, fence }: { address: string; taskId: string; fence: number }) {
     return tryAsync(() => {
-      const known = this.#tasks.get(nameOf(address, taskId))
+      const known = this.#tasks.get(createTaskKey(address, taskId))
       if (known === undefined) {
         const tombstone: Task = { fence, state: 'never-runs', body: Buffer.alloc(0) }
-        this.#tasks.set(nameOf(address, taskId), tombstone)
+        this.#tasks.set(createTaskKey(address, taskId), tombstone)
       } else {
         known.fence = fence
         if (known.state === 'running') known.state = 'stopped'
@@ -87,8 +87,8 @@
 
   getTypedAnswer({ address, taskId }: { address: string; taskId: string }) {
     return tryAsync(() => {
-      this.collected += 1
-      const known = this.#tasks.get(nameOf(address, taskId))
+      this.collectedCount += 1
+      const known = this.#tasks.get(createTaskKey(address, taskId))
       if (known?.state === 'finished') {
         return Promise.resolve({ contentType: undefined, body: known.body })
       }
@@ -97,7 +97,7 @@
   }
 
   #status(address: string, taskId: string): TaskStatus {
-    const known = this.#tasks.get(nameOf(address, taskId))
+    const known = this.#tasks.get(createTaskKey(address, taskId))
     const status = { taskId, fence: known?.fence ?? 0, state: known?.state ?? 'unknown' }
     return known?.state === 'finished' ? { ...status, answerBytes: known.body.length } : status
   }
@@ -108,8 +108,8 @@
     return status
   }
 
-  #hold(): Promise<void> {
-    return new Promise((resolve) => this.#held.push(resolve))
+  #pauseUntilReleased(): Promise<void> {
+    return new Promise((resolve) => this.#paused.push(resolve))
   }
 }
 
@@ -131,6 +131,6 @@
   }
 }
 
-function nameOf(address: string, taskId: string): string {
+function createTaskKey(address: string, taskId: string): string {
   return `${address} ${taskId}`
 }
