--- a/entry/requests/src/equalShareQuotas.ts
+++ b/entry/requests/src/equalShareQuotas.ts
@@ -27,7 +27,7 @@
   }
 
   override quotaOf(workspace: string): WorkspaceQuota | undefined {
-    const limits = this.#view.contractOf(workspace)?.limits
+    const limits = this.#view.getContract(workspace)?.limits
     if (limits === undefined) return undefined
     const { count, rank } = this.#standing(workspace)
     return {
--- a/entry/requests/src/localRequestRouter.ts
+++ b/entry/requests/src/localRequestRouter.ts
@@ -93,7 +93,7 @@
   }
 
   #admit(request: ShortRequest): void {
-    const lapsed = this.#opts.view.lease.refusal()
+    const lapsed = this.#opts.view.lease.getRefusal()
     if (lapsed !== undefined) throw lapsed
     const quota = this.#quotaOf(request.workspace)
     const rate = { perSecond: quota.requestsPerSecond, burst: quota.requestBurst }
--- a/entry/requests/src/requestQueue.ts
+++ b/entry/requests/src/requestQueue.ts
@@ -133,7 +133,7 @@
   }
 
   #refuse(request: ShortRequest, avoid: ReadonlySet<string>): NettlespurError | undefined {
-    const closed = this.#shutDown ?? this.#opts.view.lease.refusal()
+    const closed = this.#shutDown ?? this.#opts.view.lease.getRefusal()
     if (closed !== undefined) return closed
     if (request.callerGone.aborted) return createCancelledError()
     if (request.deadlineAtMs <= this.#opts.clock.monotonicMs()) {
@@ -172,7 +172,7 @@
 
   /** Gives slots to waiters until nothing more can be given. */
   #serveLines(): void {
-    const lapsed = this.#opts.view.lease.refusal()
+    const lapsed = this.#opts.view.lease.getRefusal()
     if (lapsed !== undefined) {
       this.#refuseAll(lapsed)
       return
@@ -208,7 +208,7 @@
     const grant = this.#takeSlot(waiter.avoid)
     if (grant === undefined) return false
     this.#virtualMs = Math.max(this.#virtualMs, line.virtualMs)
-    line.noteStart(this.#opts.view.contractOf(line.workspace)?.weight ?? 1)
+    line.noteStart(this.#opts.view.getContract(line.workspace)?.weight ?? 1)
     waiter.settle(Right(grant))
     return true
   }
--- a/entry/service/src/accessControl.ts
+++ b/entry/service/src/accessControl.ts
@@ -46,9 +46,9 @@
 
   /** Throws `contract-lease-expired`, `unauthorized`, or `unknown-workspace` where no keys are required. */
   requireCaller(request: HttpRequest, workspace: string): void {
-    const lapsed = this.#view.lease.refusal()
+    const lapsed = this.#view.lease.getRefusal()
     if (lapsed !== undefined) throw lapsed
-    const contract = this.#view.contractOf(workspace)
+    const contract = this.#view.getContract(workspace)
     if (this.#keysRequired) this.#requireKey(request, contract?.keys.map((key) => key.sha256) ?? [])
     if (contract !== undefined) return
     throw new NettlespurError('unknown-workspace', `no contract for workspace ${workspace}`)
--- a/entry/service/src/statusRoutes.ts
+++ b/entry/service/src/statusRoutes.ts
@@ -51,7 +51,7 @@
 }
 
 function getReadiness(context: EntryContext): Promise<HttpReply> {
-  const fault = context.drain.readinessFault() ?? context.view.lease.refusal()
+  const fault = context.drain.readinessFault() ?? context.view.lease.getRefusal()
   if (fault !== undefined) return Promise.reject(fault)
   return Promise.resolve({ status: 200, json: { ready: true } })
 }
--- a/entry/service/src/upstreamRoutes.ts
+++ b/entry/service/src/upstreamRoutes.ts
@@ -24,7 +24,7 @@
   context.access.requireUpstream(request)
   const upstreamId = readParam(request, 'id', identifierSchema)
   const announcement = await unwrap(request.readJson(announcementSchema))
-  context.view.noteAnnouncement(upstreamId, announcement)
+  context.view.applyAnnouncement(upstreamId, announcement)
   context.relay.receive(upstreamId, announcement)
   return { status: 200, json: { nextAnnouncementMs: context.announceEveryMs } }
 }
--- a/entry/view/src/clusterView.ts
+++ b/entry/view/src/clusterView.ts
@@ -28,7 +28,7 @@
   readonly lease: ContractLease
   readonly #logger: Logger
   /** Upstreams that told this entry they leave, until control knows it too. */
-  readonly #leaving = new Set<string>()
+  readonly #leavingUpstreamIds = new Set<string>()
   #position: WatchPosition = { epoch: '', contractIndex: 0, upstreamVersion: 0 }
 
   constructor(opts: ClusterViewOptions) {
@@ -41,7 +41,7 @@
   }
 
   /** The contract of a workspace; undefined where there is none. */
-  contractOf(workspace: string): Contract | undefined {
+  getContract(workspace: string): Contract | undefined {
     return this.contracts.value.get(workspace)?.contract
   }
 
@@ -54,9 +54,9 @@
       this.#logStaleUpdate(update)
       return false
     }
-    const anew = update.epoch !== this.#position.epoch
-    this.#takeContracts(update.contracts)
-    this.#takeUpstreams(update.upstreams, anew)
+    const isNewEpoch = update.epoch !== this.#position.epoch
+    this.#applyContracts(update.contracts)
+    this.#applyUpstreams(update.upstreams, isNewEpoch)
     this.entries.next(update.entries)
     const { epoch, contractIndex, upstreamVersion } = update
     this.#position = { epoch, contractIndex, upstreamVersion }
@@ -65,19 +65,19 @@
   }
 
   /** Takes what an upstream told this entry itself: one that leaves gets no new work from now on. */
-  noteAnnouncement(upstreamId: string, announcement: Announcement): void {
+  applyAnnouncement(upstreamId: string, announcement: Announcement): void {
     if (announcement.state === 'ready') {
-      this.#leaving.delete(upstreamId)
+      this.#leavingUpstreamIds.delete(upstreamId)
       return
     }
-    this.#leaving.add(upstreamId)
+    this.#leavingUpstreamIds.add(upstreamId)
     const known = this.upstreams.value.get(upstreamId)
     if (known?.state !== 'ready') return
     const upstreams = new Map(this.upstreams.value)
     this.upstreams.next(upstreams.set(upstreamId, { ...known, state: 'leaving' }))
   }
 
-  #takeContracts(records: readonly ContractRecord[]): void {
+  #applyContracts(records: readonly ContractRecord[]): void {
     if (records.length === 0) return
     const contracts = new Map(this.contracts.value)
     for (const record of records) {
@@ -92,9 +92,9 @@
     this.contracts.next(contracts)
   }
 
-  #takeUpstreams(changed: readonly UpstreamView[], anew: boolean): void {
-    if (changed.length === 0 && !anew) return
-    const upstreams = new Map(anew ? [] : this.upstreams.value)
+  #applyUpstreams(changed: readonly UpstreamView[], isNewEpoch: boolean): void {
+    if (changed.length === 0 && !isNewEpoch) return
+    const upstreams = new Map(isNewEpoch ? [] : this.upstreams.value)
     for (const upstream of changed) {
       upstreams.set(upstream.upstreamId, this.#withLocalState(upstream))
     }
@@ -102,9 +102,9 @@
   }
 
   #withLocalState(upstream: UpstreamView): UpstreamView {
-    if (!this.#leaving.has(upstream.upstreamId)) return upstream
+    if (!this.#leavingUpstreamIds.has(upstream.upstreamId)) return upstream
     if (upstream.state === 'ready') return { ...upstream, state: 'leaving' }
-    this.#leaving.delete(upstream.upstreamId)
+    this.#leavingUpstreamIds.delete(upstream.upstreamId)
     return upstream
   }
 
--- a/entry/view/src/contractLease.ts
+++ b/entry/view/src/contractLease.ts
@@ -25,7 +25,7 @@
   }
 
   /** The error every caller's work gets while the lease is not held; undefined while it is. */
-  refusal(): NettlespurError | undefined {
+  getRefusal(): NettlespurError | undefined {
     if (this.isHeld()) return undefined
     const message = 'this entry cannot confirm that it holds the newest contracts'
     return new NettlespurError('contract-lease-expired', message, { retryAfterMs })
--- a/entry/view/src/watchCluster.ts
+++ b/entry/view/src/watchCluster.ts
@@ -9,7 +9,7 @@
 import type { ClusterView } from './clusterView.js'
 
 /** Between two looks, so that bursts of changes arrive together. */
-const spacingMs = 100
+const pollSpacingMs = 100
 const shortestBackoffMs = 100
 const longestBackoffMs = 1000
 
@@ -31,10 +31,10 @@
   let failures = 0
   while (!signal.aborted) {
     const sentMs = opts.clock.monotonicMs()
-    const taken = await Promise.race([lookOnce(opts), aborted])
-    failures = taken ? 0 : failures + 1
-    const pauseMs = taken
-      ? sentMs + spacingMs - opts.clock.monotonicMs()
+    const isApplied = await Promise.race([pollOnce(opts), aborted])
+    failures = isApplied ? 0 : failures + 1
+    const pauseMs = isApplied
+      ? sentMs + pollSpacingMs - opts.clock.monotonicMs()
       : chooseBackoffMs(failures, opts.random ?? Math.random)
     await opts.clock.sleep(Math.max(0, pauseMs), signal)
   }
@@ -48,7 +48,7 @@
   })
 }
 
-async function lookOnce(opts: WatchClusterOptions): Promise<boolean> {
+async function pollOnce(opts: WatchClusterOptions): Promise<boolean> {
   const sentMs = opts.clock.monotonicMs()
   const outcome = await opts.control.watch(createWatchRequest(opts, false)).run()
   return outcome.caseOf({
--- a/entry/view/test/clusterView.test.ts
+++ b/entry/view/test/clusterView.test.ts
@@ -30,15 +30,15 @@
 
 test('the contract lease is counted from the moment the watch request was sent', async (t) => {
   const { clock, view } = createView()
-  t.is(view.lease.refusal()?.kind, 'contract-lease-expired')
+  t.is(view.lease.getRefusal()?.kind, 'contract-lease-expired')
   const sentMs = clock.monotonicMs()
   await clock.advance(1500)
   view.apply(createUpdate(), sentMs)
   t.true(view.lease.held.value)
   await clock.advance(2499)
-  t.is(view.lease.refusal(), undefined)
+  t.is(view.lease.getRefusal(), undefined)
   await clock.advance(1)
-  t.like(view.lease.refusal(), { kind: 'contract-lease-expired', retryAfterMs: 1000 })
+  t.like(view.lease.getRefusal(), { kind: 'contract-lease-expired', retryAfterMs: 1000 })
   t.false(view.lease.held.value)
 })
 
@@ -104,7 +104,7 @@
   const { view } = createView()
   const stateOf = () => view.upstreams.value.get('u1')?.state
   view.apply(createUpdate({ upstreams: [createUpstream()] }), 0)
-  view.noteAnnouncement('u1', createAnnouncement({ state: 'leaving' }))
+  view.applyAnnouncement('u1', createAnnouncement({ state: 'leaving' }))
   t.is(stateOf(), 'leaving')
   view.apply(createUpdate({ upstreams: [createUpstream()] }), 0)
   t.is(stateOf(), 'leaving')
