--- a/entry/claims/src/answerCollector.ts
+++ b/entry/claims/src/answerCollector.ts
@@ -1,10 +1,10 @@
-/** Collects again, from its upstream, an answer that is too large to be kept with its claim. */
+/** Fetches an answer from its upstream again: one that was too large, or streamed, is not stored in its claim. */
 import type { ClaimTarget } from '@nettlespur/api.schemas'
 import { unwrap } from '@nettlespur/core.errors'
 import type { TypedAnswer, UpstreamClient } from '@nettlespur/upstream.client'
 
 export abstract class AnswerCollector {
-  /** The whole answer. Rejects with `answer-expired`, `unknown-job`, `unreachable`, `outcome-unknown`. */
+  /** Returns the whole answer. Rejects with `answer-expired`, `unknown-job`, `unreachable` or `outcome-unknown`. */
   abstract collect(target: ClaimTarget): Promise<TypedAnswer>
 }
 
--- a/entry/claims/src/claimChangeSender.ts
+++ b/entry/claims/src/claimChangeSender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends changes of claims to control: those that wait while a call is under way go together in the next,
- * and so share one commit. Each change is safe to send again, so a change of leader is waited out.
+ * Sends claim changes to control in batches: changes that wait for a free call are sent together and share
+ * one commit. A change is safe to repeat, so it is retried after transient failures such as a change of leader.
  */
 import type { Claim, ClaimChange } from '@nettlespur/api.schemas'
 import type { ControlApi } from '@nettlespur/control.api'
@@ -18,7 +18,7 @@
 const concurrentCallsMax = 4
 const retryPauseMs = 100
 
-/** Failures that leave open whether control has taken the change, or that a change of leader explains. */
+/** Failures after which a call is retried: control may or may not have applied it, or its leader is changing. */
 export const transientKinds: ReadonlySet<ErrorKind> = new Set([
   'outcome-unknown',
   'unreachable',
@@ -44,7 +44,7 @@
     this.#control = control
   }
 
-  /** The claim as it stands after the change. Throws control's refusal, or a transient kind at the deadline. */
+  /** Returns the claim after the change. Throws control's refusal, or the last transient failure at the deadline. */
   async commit(change: ClaimChange, deadlineAtMs: number): Promise<Claim> {
     for (;;) {
       const result = await this.#send(change)
--- a/entry/claims/src/claimingRouter.ts
+++ b/entry/claims/src/claimingRouter.ts
@@ -1,7 +1,7 @@
 /**
- * Routes requests so that one that must not run twice is claimed under its key before it leaves. A resend,
- * through whichever entry, finds the claim and gets its outcome. "Not run" is told only where it holds for
- * the key, not just for this sending of it.
+ * Routes requests. One that must not run twice is claimed under its key before it is sent; a resend through
+ * any entry finds that claim and gets its outcome. "Not run" is reported only if no attempt so far under the
+ * key has run or can still run, not just the attempts of this request.
  */
 import { createHash } from 'node:crypto'
 import { claimAnswerBytesMax, type Claim, type ClaimOutcome } from '@nettlespur/api.schemas'
@@ -16,7 +16,7 @@
 import { createOutcomeUnknownError, OutcomeReader } from './outcomeReader.js'
 import { RequestClaim } from './requestClaim.js'
 
-/** How long the outcome of an answered request is offered to control; later control collects it itself. */
+/** How long recording an outcome at control is retried; after that control asks the upstream for it. */
 const recordTimeoutMs = 10_000
 
 export interface ClaimingRouterOptions {
@@ -25,7 +25,7 @@
   control: Pick<ControlApi, 'changeClaims' | 'awaitClaim'>
   collector: AnswerCollector
   entryId: string
-  /** Carries the requests; it commits their claim before each attempt. */
+  /** Sends the requests, and commits the claim of a request before each attempt. */
   router: RequestRouter
 }
 
@@ -34,7 +34,7 @@
   readonly #changes: ClaimChangeSender
   readonly #abandoned = new AbortController()
   readonly #outcomes: OutcomeReader
-  /** Tasks whose outcome this process still means to record. */
+  /** Tasks in progress in this process, whose outcomes are not recorded yet. */
   readonly #activeTaskIds = new Set<string>()
   readonly #pendingRecords = new Set<Promise<void>>()
 
@@ -55,7 +55,7 @@
     this.#opts.router.abandonAll()
   }
 
-  /** Resolves once the outcomes of all answered requests are recorded or given up. */
+  /** Resolves once each pending outcome is recorded, or recording it has failed. */
   async flush(): Promise<void> {
     await Promise.all(this.#pendingRecords)
   }
@@ -77,7 +77,7 @@
       claim.existing === undefined &&
       error.answer.ran !== 'no'
     ) {
-      // Handed to control at once: it asks the upstream while this request still has time to wait.
+      // Recorded as unknown at once, so that control asks the upstream before this request's deadline.
       this.#recordInBackground(claim, tasks, { kind: 'unknown', reason: error.message })
       return this.#outcomes.read(request, claim.committed)
     }
@@ -105,7 +105,7 @@
     })
   }
 
-  /** For a request of which nothing was sent, or nothing that its upstream took. */
+  /** Answers a request of which this process sent nothing, or nothing that an upstream accepted. */
   async #answerUnsent(
     request: ShortRequest,
     key: string,
@@ -134,7 +134,7 @@
     const outcome = { kind: 'not-run' as const, reason: error.message }
     const settled = await tryAsync(() => claim.settle(held, outcome, endMs)).run()
     if (settled.isLeft())
-      throw createOutcomeUnknownError('control cannot tell what became of its key')
+      throw createOutcomeUnknownError('control did not confirm that its claim is settled')
     const known = settled.unsafeCoerce()
     if (known.outcome?.kind === 'not-run') throw error
     return this.#readFound(request, known)
@@ -148,7 +148,10 @@
     return this.#outcomes.read(request, found)
   }
 
-  /** A claim of this entry that this process does not run was left behind by a former process. */
+  /**
+   * Settles a claim of this entry as unknown if no task of this process belongs to it: an earlier process of the
+   * entry left it behind, and control then asks the upstream for its outcome.
+   */
   async #releaseOrphan(request: ShortRequest, { outcome, ...found }: Claim): Promise<void> {
     const { entryId } = this.#opts
     const isOrphan = found.entryId === entryId && !this.#activeTaskIds.has(found.target.taskId)
@@ -159,7 +162,7 @@
     await tryAsync(() => this.#changes.commit(change, request.deadlineAtMs)).run()
   }
 
-  /** Records an outcome in the background: the caller has its answer and need not wait. */
+  /** Records an outcome at control without delaying the caller's answer. */
   #recordInBackground(claim: RequestClaim, tasks: readonly string[], outcome: ClaimOutcome): void {
     const { committed: held } = claim
     if (held === undefined) return
@@ -190,7 +193,7 @@
   return createHash('sha256').update(body).digest('hex')
 }
 
-/** A body that is streamed or large stays with its upstream, where a resend collects it. */
+/** Leaves out a body that is streamed or too large for a claim; a resend collects it from its upstream. */
 function toOutcome({ status, contentType, body, lengthBytes }: ShortAnswer): ClaimOutcome {
   const isKept = Buffer.isBuffer(body) && body.length <= claimAnswerBytesMax
   return {
@@ -203,7 +206,7 @@
 }
 
 function createNoKeyError(): NettlespurError {
-  return new NettlespurError('invalid-field', 'header idempotency-key: is needed', {
-    hint: 'give each request a key of its own, or say nettlespur-repeatable: true where it may run twice',
+  return new NettlespurError('invalid-field', 'header idempotency-key: is required', {
+    hint: 'give each request its own key, or send nettlespur-repeatable: true if it may run twice',
   })
 }
--- a/entry/claims/src/outcomeReader.ts
+++ b/entry/claims/src/outcomeReader.ts
@@ -1,4 +1,4 @@
-/** Gives a resent request the outcome of its claim: the recorded one, or the one it waits for. */
+/** Answers a request from the outcome of its claim, and waits for the outcome where none is recorded yet. */
 import type { Claim, ClaimAnswer, ClaimOutcome } from '@nettlespur/api.schemas'
 import type { ControlApi } from '@nettlespur/control.api'
 import type { Clock } from '@nettlespur/core.clock'
@@ -11,13 +11,13 @@
 const awaitCallMsMax = 1000
 const retryPauseMs = 100
 const retryAfterMs = 1000
-const resendHint = 'send it again with the same key and body to learn of its outcome'
+const resendHint = 'send it again with the same key and body to get its outcome'
 
 export interface OutcomeReaderOptions {
   clock: Clock
   control: Pick<ControlApi, 'awaitClaim'>
   collector: AnswerCollector
-  /** Aborted when every request is to be answered now. */
+  /** When aborted, `read` stops waiting for an outcome and throws `outcome-unknown`. */
   abandoned: AbortSignal
 }
 
@@ -28,28 +28,28 @@
     this.#opts = opts
   }
 
-  /** The claim of the key now, or null. Throws `outcome-unknown` where control cannot tell in time. */
+  /** Returns the current claim of the key; null if there is none. Throws `outcome-unknown` if control gives neither. */
   async find(request: ShortRequest, key: string): Promise<Claim | null> {
     const { clock } = this.#opts
     const endMs = Math.max(request.deadlineAtMs, clock.monotonicMs())
     return this.#queryClaim(request.workspace, key, 0, endMs)
   }
 
-  /** Waits for the outcome until the request's deadline. Throws what stands for any but an answer. */
+  /** Waits for the outcome until the request's deadline. Returns an answer; throws an error for any other outcome. */
   async read(request: ShortRequest, claim: Claim): Promise<ShortAnswer> {
     const { clock, abandoned } = this.#opts
     const stopSignal = AbortSignal.any([request.callerGone, abandoned])
     const stopped = whenAborted(stopSignal)
     let known: Claim | null = claim
     for (;;) {
-      if (known === null) throw createOutcomeUnknownError('its claim is no longer kept')
+      if (known === null) throw createOutcomeUnknownError('control no longer keeps its claim')
       const { outcome } = known
       if (outcome !== undefined && outcome.kind !== 'unknown') {
         return this.#toAnswer(request, known, outcome)
       }
       const remainingMs = request.deadlineAtMs - clock.monotonicMs()
       if (stopSignal.aborted || remainingMs <= 0) {
-        throw createOutcomeUnknownError(outcome?.reason ?? 'it runs still')
+        throw createOutcomeUnknownError(outcome?.reason ?? 'it is still running')
       }
       const waitMs = Math.ceil(Math.min(awaitCallMsMax, remainingMs))
       const asked = this.#queryClaim(request.workspace, claim.key, waitMs, request.deadlineAtMs)
@@ -71,7 +71,7 @@
       if (asked.isRight()) return asked.extract()
       const error = toNettlespurError(asked.extract())
       if (!transientKinds.has(error.kind) || clock.monotonicMs() + retryPauseMs >= endMs) {
-        throw createOutcomeUnknownError('control cannot tell what became of its key', error)
+        throw createOutcomeUnknownError('control did not return the claim of its key', error)
       }
       await clock.sleep(retryPauseMs)
     }
@@ -107,15 +107,22 @@
         if (found.body.length === answer.bodyBytes) {
           return { body: found.body, contentType: contentType ?? found.contentType }
         }
-        throw new NettlespurError('answer-expired', 'its upstream holds another answer')
+        throw new NettlespurError(
+          'answer-expired',
+          'the answer at its upstream has another length than the recorded one',
+        )
       } catch (thrown) {
         const error = toNettlespurError(thrown)
         const isTransient = transientKinds.has(error.kind)
         if (!isTransient || clock.monotonicMs() + retryPauseMs >= request.deadlineAtMs) {
-          throw new NettlespurError('answer-expired', `it ran; its answer: ${error.message}`, {
-            hint: isTransient ? resendHint : undefined,
-            cause: error,
-          })
+          throw new NettlespurError(
+            'answer-expired',
+            `it ran, but its answer could not be collected: ${error.message}`,
+            {
+              hint: isTransient ? resendHint : undefined,
+              cause: error,
+            },
+          )
         }
         await clock.sleep(retryPauseMs)
       }
--- a/entry/claims/src/requestClaim.ts
+++ b/entry/claims/src/requestClaim.ts
@@ -1,4 +1,4 @@
-/** The claim of one request in progress: committed with its target before each attempt leaves. */
+/** The claim of one request in progress: it is committed at control, with its target, before each attempt is sent. */
 import type { Claim, ClaimChange, ClaimOutcome, UpstreamView } from '@nettlespur/api.schemas'
 import { NettlespurError } from '@nettlespur/core.errors'
 import { DispatchClaim } from '@nettlespur/entry.requests'
@@ -12,16 +12,16 @@
   bodySha256: string
   deadlineAtMs: number
   monotonicMs: () => number
-  /** Told of the task before its claim is asked for. */
+  /** Called with the task id before control is asked for the claim. */
   onTask: (taskId: string) => void
 }
 
 export class RequestClaim extends DispatchClaim {
-  /** Set once control was asked to open it: from then on a claim may stand there. */
+  /** True once control was asked to commit the claim. Even if the call failed, control may hold the claim. */
   hasAskedControl = false
-  /** As committed for this request. */
+  /** The claim that control committed for this request; undefined before the first commit. */
   committed: Claim | undefined
-  /** What stood under the key, or has overtaken this request. */
+  /** The claim that control returned instead: another request's under the same key, or one already settled. */
   existing: Claim | undefined
   readonly #opts: RequestClaimOptions
 
@@ -45,14 +45,20 @@
       claim.outcome === undefined
     if (!isOwn) {
       this.existing = claim
-      throw new NettlespurError('outcome-unknown', 'its key is claimed already')
+      throw new NettlespurError(
+        'outcome-unknown',
+        'another attempt holds the claim of its key, or its outcome is recorded already',
+      )
     }
     this.committed = claim
     if (monotonicMs() < deadlineAtMs) return claim.fence
-    throw new NettlespurError('deadline-before-start', 'its deadline passed while it was claimed')
+    throw new NettlespurError(
+      'deadline-before-start',
+      'its deadline passed while control committed its claim',
+    )
   }
 
-  /** The claim as it stands afterwards, which another may have settled first. */
+  /** Asks control to record the outcome. Returns the resulting claim, unchanged if it was resolved or moved before. */
   settle(held: Claim, outcome: ClaimOutcome, deadlineAtMs: number): Promise<Claim> {
     const { workspace, key } = this.#opts
     const { fence } = held
--- a/entry/claims/test/claimTrial.ts
+++ b/entry/claims/test/claimTrial.ts
@@ -1,4 +1,4 @@
-/** Entries over one control whose state is the real one, with the leader's resolver, on a manual clock. */
+/** Entries on a manual clock that share one control, which has the real claim state and the leader's resolver. */
 import type { ClaimChange, ClaimQuery } from '@nettlespur/api.schemas'
 import { ClaimResolver } from '@nettlespur/control.service'
 import { ManualClock } from '@nettlespur/core.clock'
@@ -22,7 +22,7 @@
 import { ClaimingRouter, UpstreamAnswerCollector } from '../src/index.js'
 import { MemoryTransport, MemoryUpstreams } from './memoryUpstreams.js'
 
-/** What becomes of a call to control: taken but its answer lost, or not taken at all. */
+/** `lose`: control applies the call, but its answer is lost. `fail`: the call does not reach control. */
 export type ControlFault = 'lose' | 'fail'
 
 const deadlineMs = 5000
@@ -32,9 +32,9 @@
   readonly control = new FakeControl(this.clock)
   readonly upstreams = new MemoryUpstreams(this.clock)
   readonly controlFaults: ControlFault[] = []
-  /** Until then control takes nothing. */
+  /** Before this time every call to control fails. */
   controlDownUntilMs = 0
-  /** Processes that have ended, and entries that control holds for dead. */
+  /** Names of processes that have ended, and ids of entries that control considers dead. */
   readonly dead = new Set<string>()
   readonly #resolver: ClaimResolver
   readonly #ended = new AbortController()
@@ -68,7 +68,7 @@
     this.#ended.abort()
   }
 
-  /** A process of the entry `entryId`; `process` tells it from a later one of the same id. */
+  /** Creates a process of the entry `entryId`; `process` names it, as an entry may have several one after another. */
   createEntry(entryId: string, process: string): ClaimingRouter {
     const { clock, control, upstreams } = this
     const isDead = (): boolean => this.dead.has(process)
--- a/entry/claims/test/claimingRouter.test.ts
+++ b/entry/claims/test/claimingRouter.test.ts
@@ -89,7 +89,7 @@
   readonly delaysMs: readonly number[]
 }
 
-/** Plays the steps, then lets everything end, and asks once more for each key. */
+/** Runs the steps, then ends all faults, lets pending work finish and sends one more request for each key. */
 async function runScenario({ played, script, delaysMs }: Scenario, onReply: OnReply) {
   const trial = new ClaimTrial()
   trial.upstreams.script.push(...script)
@@ -142,7 +142,7 @@
 
 type OnReply = (trial: ClaimTrial, reply: Reply) => void
 
-test('over resends, lost and late answers, deaths and stops: one run a key, one answer, and a true "not run"', async (t) => {
+test('with resends, lost or late answers and killed entries, a key runs at most once, has one answer, and "not run" is reported only if no attempt ran or runs later', async (t) => {
   await fc.assert(
     fc.asyncProperty(steps, faults, delays, async (played, script, delaysMs) => {
       const answers = new Map<string, Set<string>>()
@@ -158,7 +158,7 @@
           result.ifLeft((error) => {
             if (error.answer.ran !== 'no' || error.kind === 'idempotency-conflict') return
             const ran = upstreams.started.filter((task) => task.key === key)
-            t.is(ran.length, 0, `told that it did not run: ${error.message}`)
+            t.is(ran.length, 0, `"not run" was reported for a key that ran: ${error.message}`)
             const taskIds = upstreams.sent.filter((task) => task.key === key)
             denied.push({ key, taskIds: taskIds.map(({ taskId }) => taskId) })
           })
@@ -173,7 +173,7 @@
       for (const { taskIds } of denied) {
         t.false(
           started.some(({ taskId }) => taskIds.includes(taskId)),
-          'it ran after "not run"',
+          'a task ran after "not run" was reported',
         )
       }
       t.true(replies >= 2, 'both last requests were answered')
@@ -182,7 +182,7 @@
   )
 })
 
-test('a key is needed, and belongs to one body', async (t) => {
+test('a request without a key is refused, and so is a key that was used with another body', async (t) => {
   const trial = new ClaimTrial()
   const router = trial.createEntry('entry-1', 'first')
   const none = await router.run({ ...trial.createRequest('a', 'x'), key: undefined }).run()
@@ -197,7 +197,7 @@
   trial.end()
 })
 
-test('an answer too large to keep is collected whole from its upstream', async (t) => {
+test('a resend collects an answer that is too large for its claim from its upstream', async (t) => {
   const trial = new ClaimTrial()
   const body = 'span '.repeat(20_000)
   const first = await trial
@@ -213,7 +213,7 @@
   trial.end()
 })
 
-test('where control cannot be asked, a resend of what ran is never told that it did not', async (t) => {
+test('while control is unreachable, a resend of a request that ran gets outcome-unknown', async (t) => {
   const trial = new ClaimTrial()
   await trial.createEntry('entry-1', 'first').run(trial.createRequest('a', 'x')).run()
   trial.controlDownUntilMs = 60_000
@@ -224,7 +224,7 @@
   trial.end()
 })
 
-test('a large answer that was lost is collected whole, and never passes through control', async (t) => {
+test('a large answer that was lost is collected from its upstream by the entry, not by control', async (t) => {
   const trial = new ClaimTrial()
   trial.upstreams.script.push('lose')
   const body = 'span '.repeat(20_000)
@@ -234,7 +234,7 @@
   t.true(answer.endsWith(body))
   const outcome = trial.control.claims.get({ workspace: 'thapa', key: 'a' })?.outcome
   t.like(outcome, { kind: 'answered', bodyBytes: answer.length, bodyBase64: undefined })
-  t.is(trial.upstreams.collectedCount, 1, 'by the entry alone')
+  t.is(trial.upstreams.collectedCount, 1, 'only the entry collected it')
   t.is(trial.upstreams.started.length, 1)
   trial.end()
 })
--- a/entry/claims/test/memoryUpstreams.ts
+++ b/entry/claims/test/memoryUpstreams.ts
@@ -1,10 +1,10 @@
-/** Upstreams in memory, which show the test's faults and keep what they ran. */
+/** Fake upstreams in memory, which follow a script of faults and record the tasks that they ran. */
 import type { TaskState, TaskStatus } from '@nettlespur/api.schemas'
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError, tryAsync } from '@nettlespur/core.errors'
 import { TaskTransport, type TaskOutcome, type TaskRun } from '@nettlespur/entry.requests'
 
-/** `late`: the attempt arrives only when released. `slow`: it runs until released. */
+/** `late`: the attempt arrives only when released. `slow`: it runs until released. `lose`: it runs, but its answer is lost. */
 export type Fault =
   'answer' | 'late-refuse' | 'lose' | 'refuse' | 'not-sent' | 'late' | 'late-lose' | 'slow'
 
@@ -16,13 +16,13 @@
 
 export class MemoryUpstreams {
   readonly script: Fault[] = []
-  /** Keys of the tasks that were started, one for each start. */
+  /** One entry for each start of a task. */
   readonly started: { key: string; taskId: string }[] = []
-  /** Tasks sent so far for each key. */
+  /** One entry for each attempt that was sent. */
   readonly sent: { key: string; taskId: string }[] = []
-  /** How late the next answers about tasks are, in milliseconds. */
+  /** Delays of the next task status answers, in order. */
   readonly statusDelaysMs: number[] = []
-  /** Answers collected again. */
+  /** How often an answer was fetched after its run. */
   collectedCount = 0
   readonly #clock: Clock
   readonly #tasks = new Map<string, Task>()
@@ -32,7 +32,7 @@
     this.#clock = clock
   }
 
-  /** Lets everything go on that is late or slow. */
+  /** Resumes all attempts that are late or slow. */
   release(): void {
     const held = this.#paused
     this.#paused = []
@@ -113,7 +113,7 @@
   }
 }
 
-/** The transport of one entry: after the entry's death nothing leaves it and nothing comes back to it. */
+/** The transport of one entry process. Once the process is dead, it sends nothing and its pending calls never resolve. */
 export class MemoryTransport extends TaskTransport {
   readonly #upstreams: MemoryUpstreams
   readonly #isDead: () => boolean
