--- a/entry/view/src/clusterView.ts
+++ b/entry/view/src/clusterView.ts
@@ -1,6 +1,6 @@
 /**
- * The entry's soft copy of the cluster: contracts by workspace, upstreams by id, and the live entries. It
- * is rebuilt from control after a restart, and a contract never goes back to an older change.
+ * The entry's in-memory copy of the cluster state: contracts by workspace, upstreams by id, and the live
+ * entries. After a restart it is read from control again. A contract is never replaced by an older one.
  */
 import type { Announcement, Contract, ContractRecord, UpstreamView } from '@nettlespur/api.schemas'
 import type { ClusterUpdate, EntryIdentity } from '@nettlespur/control.api'
@@ -14,7 +14,7 @@
   logger: Logger
 }
 
-/** What this entry holds already, in terms of the leadership it learned it from. */
+/** How far this entry has read the cluster state; `epoch` names the leadership at control that the state came from. */
 export interface WatchPosition {
   readonly epoch: string
   readonly contractIndex: number
@@ -27,7 +27,7 @@
   readonly entries = new BehaviorSubject<readonly EntryIdentity[]>([])
   readonly lease: ContractLease
   readonly #logger: Logger
-  /** Upstreams that told this entry they leave, until control knows it too. */
+  /** Upstreams that announced to this entry that they leave, and that control still reports as ready. */
   readonly #leavingUpstreamIds = new Set<string>()
   #position: WatchPosition = { epoch: '', contractIndex: 0, upstreamVersion: 0 }
 
@@ -40,14 +40,14 @@
     return this.#position
   }
 
-  /** The contract of a workspace; undefined where there is none. */
+  /** Returns undefined if the workspace has no contract. */
   getContract(workspace: string): Contract | undefined {
     return this.contracts.value.get(workspace)?.contract
   }
 
   /**
-   * Takes an update to a watch request sent at `sentMs`. False where the update is older than what is
-   * held: then nothing of it is taken, and the contract lease is not renewed by it.
+   * Applies the answer to a watch request that was sent at `sentMs`, and renews the contract lease. Returns
+   * false and changes nothing if the update is older than the contracts held here.
    */
   apply(update: ClusterUpdate, sentMs: number): boolean {
     if (update.contractIndex < this.#position.contractIndex) {
@@ -64,7 +64,7 @@
     return true
   }
 
-  /** Takes what an upstream told this entry itself: one that leaves gets no new work from now on. */
+  /** Applies an announcement that an upstream sent to this entry: one that leaves gets no new work from now on. */
   applyAnnouncement(upstreamId: string, announcement: Announcement): void {
     if (announcement.state === 'ready') {
       this.#leavingUpstreamIds.delete(upstreamId)
@@ -126,7 +126,7 @@
       changeIndex: record.changeIndex,
       heldRevision: held.revision,
       heldChangeIndex: held.changeIndex,
-      reason: 'a contract never goes back to an older change',
+      reason: 'the contract is older than the one held here',
     })
   }
 }
--- a/entry/view/src/contractLease.ts
+++ b/entry/view/src/contractLease.ts
@@ -1,6 +1,6 @@
 /**
- * The right to enforce the contracts this entry holds. It is counted from the moment the watch request
- * was sent, so that it ends here no later than control believes it does.
+ * The lease under which this entry may enforce the contracts it holds. It is counted from the time at which
+ * the watch request was sent, so it ends here no later than at control.
  */
 import type { Clock, Timer } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -9,7 +9,7 @@
 const retryAfterMs = 1000
 
 export class ContractLease {
-  /** Turns false when the lease ends, and true when it is held again. */
+  /** Emits false when the lease ends, and true when it is held again. */
   readonly held = new BehaviorSubject(false)
   readonly #clock: Clock
   #endsMs = Number.NEGATIVE_INFINITY
@@ -19,19 +19,19 @@
     this.#clock = clock
   }
 
-  /** Asks the clock itself: a timer that fires late extends nothing. */
+  /** Compares with the clock instead of reading `held`, because a timer that fires late must not extend the lease. */
   isHeld(): boolean {
     return this.#clock.monotonicMs() < this.#endsMs
   }
 
-  /** The error every caller's work gets while the lease is not held; undefined while it is. */
+  /** Returns the error for callers while the lease is not held; undefined while it is. */
   getRefusal(): NettlespurError | undefined {
     if (this.isHeld()) return undefined
     const message = 'this entry cannot confirm that it holds the newest contracts'
     return new NettlespurError('contract-lease-expired', message, { retryAfterMs })
   }
 
-  /** Extends the lease to `leaseMs` after `sentMs`; it never ends earlier than promised before. */
+  /** Extends the lease to `leaseMs` after `sentMs`. Never shortens it. */
   renew(sentMs: number, leaseMs: number): void {
     this.#endsMs = Math.max(this.#endsMs, sentMs + leaseMs)
     this.#timer?.cancel()
--- a/entry/view/src/watchCluster.ts
+++ b/entry/view/src/watchCluster.ts
@@ -1,6 +1,6 @@
 /**
- * The one task that keeps a ClusterView up to date: it long-polls control, and after a failure comes back
- * with full jitter and a growing wait.
+ * Keeps a ClusterView up to date by long-polling control. After a failed poll or a stale update the next poll
+ * waits for a random backoff, whose upper bound doubles with each failure in a row up to its maximum.
  */
 import type { ControlApi, EntryIdentity, WatchRequest } from '@nettlespur/control.api'
 import type { Clock } from '@nettlespur/core.clock'
@@ -8,7 +8,7 @@
 import type { Logger } from '@nettlespur/core.logger'
 import type { ClusterView } from './clusterView.js'
 
-/** Between two looks, so that bursts of changes arrive together. */
+/** Shortest time between the starts of two polls, so that changes in a burst arrive together. */
 const pollSpacingMs = 100
 const shortestBackoffMs = 100
 const longestBackoffMs = 1000
@@ -19,9 +19,9 @@
   control: ControlApi
   view: ClusterView
   entry: EntryIdentity
-  /** How long one look waits at control for a change, in milliseconds. */
+  /** How long control holds one poll open for a change. */
   waitMs: number
-  /** A number in [0, 1); Math.random by default. */
+  /** Returns a number in [0, 1); Math.random by default. */
   random?: () => number
 }
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** Tells control that this entry takes no more work, so that no contract change waits for it. */
+/** Tells control that this entry takes no more work, so that contract changes stop waiting for its confirmation. */
 export async function announceLeaving(opts: WatchClusterOptions): Promise<void> {
   const outcome = await opts.control.watch(createWatchRequest(opts, true)).run()
   outcome.ifLeft((error) => {
--- a/entry/view/test/clusterView.test.ts
+++ b/entry/view/test/clusterView.test.ts
@@ -42,14 +42,14 @@
   t.false(view.lease.held.value)
 })
 
-test('an update that is late by more than its lease holds nothing', async (t) => {
+test('an update that arrives after its lease has ended does not make the lease held', async (t) => {
   const { clock, view } = createView()
   await clock.advance(5000)
   view.apply(createUpdate(), 0)
   t.false(view.lease.isHeld())
 })
 
-test('a contract never goes back, whatever order and epochs updates come in', (t) => {
+test('a contract is never replaced by an older one, in whatever order and epochs updates arrive', (t) => {
   const step = fc.record({
     epoch: fc.constantFrom('first', 'second', 'third'),
     contractIndex: fc.integer({ min: 0, max: 9 }),
@@ -82,7 +82,7 @@
   t.pass()
 })
 
-test('an update older than what is held renews no lease and is logged', (t) => {
+test('an update older than the contracts held is ignored and logged', (t) => {
   const { logger, view } = createView()
   t.true(view.apply(createUpdate({ contractIndex: 5 }), -3000))
   t.false(view.apply(createUpdate({ contractIndex: 4, epoch: 'second' }), 0))
@@ -100,7 +100,7 @@
   t.deepEqual([...view.upstreams.value.keys()], ['u2'])
 })
 
-test('an upstream that told this entry it leaves stays leaving until control knows it', (t) => {
+test('an upstream that announced to this entry that it leaves stays leaving until control reports it as leaving', (t) => {
   const { view } = createView()
   const stateOf = () => view.upstreams.value.get('u1')?.state
   view.apply(createUpdate({ upstreams: [createUpstream()] }), 0)
--- a/entry/view/test/watchCluster.test.ts
+++ b/entry/view/test/watchCluster.test.ts
@@ -25,7 +25,7 @@
   return { clock, logger, control, view, opts, stop }
 }
 
-test('a contract change arrives while a look for it waits, and the lease is kept up', async (t) => {
+test('a contract change arrives during an open poll, and polls keep the lease renewed', async (t) => {
   const { clock, control, view, stop } = start()
   await clock.advance(10_000)
   t.true(view.lease.isHeld())
@@ -35,14 +35,14 @@
   await stop()
 })
 
-test('an entry cut off loses its lease, looks again with pauses, and recovers', async (t) => {
+test('an entry cut off from control loses its lease, polls with backoff, and recovers', async (t) => {
   const { clock, control, logger, view, stop } = start()
   await clock.advance(500)
   control.failure = 'unreachable'
   await clock.advance(6000)
   t.false(view.lease.isHeld())
   const failures = logger.named('view.watch-failed').length
-  t.true(failures >= 5 && failures <= 20, `${failures} looks in 6 s`)
+  t.true(failures >= 5 && failures <= 20, `${failures} polls in 6 s`)
   control.failure = undefined
   control.epoch = 'second'
   control.putContract(createContract())
@@ -53,7 +53,7 @@
   await stop()
 })
 
-test('a stop ends the task while a look waits; control is then told that the entry leaves', async (t) => {
+test('a stop ends the watch during an open poll, and control is then told that the entry leaves', async (t) => {
   const { clock, control, opts, stop } = start()
   await clock.advance(10)
   await stop()
