--- a/entry/claims/src/claimingRouter.ts
+++ b/entry/claims/src/claimingRouter.ts
@@ -1,7 +1,7 @@
 /**
- * Routes requests so that one that must not run twice is claimed under its key before it leaves. A resend,
- * through whichever entry, finds the claim and gets its outcome. "Not run" is told only where it holds for
- * the key, not just for this sending of it.
+ * Routes requests. One that must not run twice is claimed under its key before it is sent; a resend through
+ * any entry finds that claim and gets its outcome. "Not run" is reported only if no attempt so far under the
+ * key has run or can still run, not just the attempts of this request.
  */
 import { createHash } from 'node:crypto'
 import { claimAnswerBytesMax, type Claim, type ClaimOutcome } from '@nettlespur/api.schemas'
@@ -12,12 +12,12 @@
 import { RequestRouter, type ShortAnswer, type ShortRequest } from '@nettlespur/entry.requests'
 import type { EitherAsync } from 'purify-ts'
 import type { AnswerCollector } from './answerCollector.js'
-import { ClaimChanges, transientKinds } from './claimChanges.js'
-import { createUnknownError, OutcomeReader } from './outcomeReader.js'
+import { ClaimChangeSender, transientKinds } from './claimChangeSender.js'
+import { createOutcomeUnknownError, OutcomeReader } from './outcomeReader.js'
 import { RequestClaim } from './requestClaim.js'
 
-/** How long the outcome of an answered request is offered to control; later control collects it itself. */
-const recordPatienceMs = 10_000
+/** How long recording an outcome at control is retried; after that control asks the upstream for it. */
+const recordTimeoutMs = 10_000
 
 export interface ClaimingRouterOptions {
   clock: Clock
@@ -25,23 +25,23 @@
   control: Pick<ControlApi, 'changeClaims' | 'awaitClaim'>
   collector: AnswerCollector
   entryId: string
-  /** Carries the requests; it commits their claim before each attempt. */
+  /** Sends the requests, and commits the claim of a request before each attempt. */
   router: RequestRouter
 }
 
 export class ClaimingRouter extends RequestRouter {
   readonly #opts: ClaimingRouterOptions
-  readonly #changes: ClaimChanges
+  readonly #changes: ClaimChangeSender
   readonly #abandoned = new AbortController()
   readonly #outcomes: OutcomeReader
-  /** Tasks whose outcome this process still means to record. */
-  readonly #tasks = new Set<string>()
-  readonly #records = new Set<Promise<void>>()
+  /** Tasks in progress in this process, whose outcomes are not recorded yet. */
+  readonly #activeTaskIds = new Set<string>()
+  readonly #pendingRecords = new Set<Promise<void>>()
 
   constructor(opts: ClaimingRouterOptions) {
     super()
     this.#opts = opts
-    this.#changes = new ClaimChanges(opts.clock, opts.control)
+    this.#changes = new ClaimChangeSender(opts.clock, opts.control)
     this.#outcomes = new OutcomeReader({ ...opts, abandoned: this.#abandoned.signal })
   }
 
@@ -55,9 +55,9 @@
     this.#opts.router.abandonAll()
   }
 
-  /** Resolves once the outcomes of all answered requests are recorded or given up. */
+  /** Resolves once each pending outcome is recorded, or recording it has failed. */
   async flush(): Promise<void> {
-    await Promise.all(this.#records)
+    await Promise.all(this.#pendingRecords)
   }
 
   async #runClaimed(request: ShortRequest): Promise<ShortAnswer> {
@@ -68,19 +68,23 @@
     const result = await this.#opts.router.run({ ...request, claim }).run()
     if (result.isRight()) {
       const answer = result.unsafeCoerce()
-      this.#record(claim, tasks, toOutcome(answer))
+      this.#recordInBackground(claim, tasks, toOutcome(answer))
       return answer
     }
     const error = toNettlespurError(result.extract())
-    if (claim.held !== undefined && claim.found === undefined && error.answer.ran !== 'no') {
-      // Handed to control at once: it asks the upstream while this request still has time to wait.
-      this.#record(claim, tasks, { kind: 'unknown', reason: error.message })
-      return this.#outcomes.read(request, claim.held)
+    if (
+      claim.committed !== undefined &&
+      claim.existing === undefined &&
+      error.answer.ran !== 'no'
+    ) {
+      // Recorded as unknown at once, so that control asks the upstream before this request's deadline.
+      this.#recordInBackground(claim, tasks, { kind: 'unknown', reason: error.message })
+      return this.#outcomes.read(request, claim.committed)
     }
     try {
       return await this.#answerUnsent(request, key, claim, error)
     } finally {
-      this.#forget(tasks)
+      this.#forgetTasks(tasks)
     }
   }
 
@@ -96,22 +100,23 @@
       monotonicMs: () => clock.monotonicMs(),
       onTask: (taskId) => {
         tasks.push(taskId)
-        this.#tasks.add(taskId)
+        this.#activeTaskIds.add(taskId)
       },
     })
   }
 
-  /** For a request of which nothing was sent, or nothing that its upstream took. */
+  /** Answers a request of which this process sent nothing, or nothing that an upstream accepted. */
   async #answerUnsent(
     request: ShortRequest,
     key: string,
     claim: RequestClaim,
     error: NettlespurError,
   ): Promise<ShortAnswer> {
-    if (claim.found !== undefined) return this.#readFound(request, claim.found)
-    if (claim.held !== undefined) return this.#settleNotRun(request, claim, claim.held, error)
-    if (claim.asked) {
-      throw transientKinds.has(error.kind) ? createUnknownError(error.message, error) : error
+    if (claim.existing !== undefined) return this.#readFound(request, claim.existing)
+    if (claim.committed !== undefined)
+      return this.#settleNotRun(request, claim, claim.committed, error)
+    if (claim.hasAskedControl) {
+      throw transientKinds.has(error.kind) ? createOutcomeUnknownError(error.message, error) : error
     }
     const known = await this.#outcomes.find(request, key)
     if (known === null || known.outcome?.kind === 'not-run') throw error
@@ -128,7 +133,8 @@
     const endMs = Math.max(request.deadlineAtMs, clock.monotonicMs())
     const outcome = { kind: 'not-run' as const, reason: error.message }
     const settled = await tryAsync(() => claim.settle(held, outcome, endMs)).run()
-    if (settled.isLeft()) throw createUnknownError('control cannot tell what became of its key')
+    if (settled.isLeft())
+      throw createOutcomeUnknownError('control did not confirm that its claim is settled')
     const known = settled.unsafeCoerce()
     if (known.outcome?.kind === 'not-run') throw error
     return this.#readFound(request, known)
@@ -142,10 +148,13 @@
     return this.#outcomes.read(request, found)
   }
 
-  /** A claim of this entry that this process does not run was left behind by a former process. */
+  /**
+   * Settles a claim of this entry as unknown if no task of this process belongs to it: an earlier process of the
+   * entry left it behind, and control then asks the upstream for its outcome.
+   */
   async #releaseOrphan(request: ShortRequest, { outcome, ...found }: Claim): Promise<void> {
     const { entryId } = this.#opts
-    const isOrphan = found.entryId === entryId && !this.#tasks.has(found.target.taskId)
+    const isOrphan = found.entryId === entryId && !this.#activeTaskIds.has(found.target.taskId)
     if (outcome !== undefined || !isOrphan) return
     const { workspace, key, fence } = found
     const unknown = { kind: 'unknown' as const, reason: 'its entry has restarted' }
@@ -153,11 +162,11 @@
     await tryAsync(() => this.#changes.commit(change, request.deadlineAtMs)).run()
   }
 
-  /** Records an outcome in the background: the caller has its answer and need not wait. */
-  #record(claim: RequestClaim, tasks: readonly string[], outcome: ClaimOutcome): void {
-    const { held } = claim
+  /** Records an outcome at control without delaying the caller's answer. */
+  #recordInBackground(claim: RequestClaim, tasks: readonly string[], outcome: ClaimOutcome): void {
+    const { committed: held } = claim
     if (held === undefined) return
-    const endMs = this.#opts.clock.monotonicMs() + recordPatienceMs
+    const endMs = this.#opts.clock.monotonicMs() + recordTimeoutMs
     const recorded = claim
       .settle(held, outcome, endMs)
       .then(
@@ -169,14 +178,14 @@
         },
       )
       .finally(() => {
-        this.#forget(tasks)
-        this.#records.delete(recorded)
+        this.#forgetTasks(tasks)
+        this.#pendingRecords.delete(recorded)
       })
-    this.#records.add(recorded)
+    this.#pendingRecords.add(recorded)
   }
 
-  #forget(tasks: readonly string[]): void {
-    for (const taskId of tasks) this.#tasks.delete(taskId)
+  #forgetTasks(tasks: readonly string[]): void {
+    for (const taskId of tasks) this.#activeTaskIds.delete(taskId)
   }
 }
 
@@ -184,7 +193,7 @@
   return createHash('sha256').update(body).digest('hex')
 }
 
-/** A body that is streamed or large stays with its upstream, where a resend collects it. */
+/** Leaves out a body that is streamed or too large for a claim; a resend collects it from its upstream. */
 function toOutcome({ status, contentType, body, lengthBytes }: ShortAnswer): ClaimOutcome {
   const isKept = Buffer.isBuffer(body) && body.length <= claimAnswerBytesMax
   return {
@@ -197,7 +206,7 @@
 }
 
 function createNoKeyError(): NettlespurError {
-  return new NettlespurError('invalid-field', 'header idempotency-key: is needed', {
-    hint: 'give each request a key of its own, or say nettlespur-repeatable: true where it may run twice',
+  return new NettlespurError('invalid-field', 'header idempotency-key: is required', {
+    hint: 'give each request its own key, or send nettlespur-repeatable: true if it may run twice',
   })
 }
--- a/entry/view/src/clusterView.ts
+++ b/entry/view/src/clusterView.ts
@@ -1,6 +1,6 @@
 /**
- * The entry's soft copy of the cluster: contracts by workspace, upstreams by id, and the live entries. It
- * is rebuilt from control after a restart, and a contract never goes back to an older change.
+ * The entry's in-memory copy of the cluster state: contracts by workspace, upstreams by id, and the live
+ * entries. After a restart it is read from control again. A contract is never replaced by an older one.
  */
 import type { Announcement, Contract, ContractRecord, UpstreamView } from '@nettlespur/api.schemas'
 import type { ClusterUpdate, EntryIdentity } from '@nettlespur/control.api'
@@ -14,7 +14,7 @@
   logger: Logger
 }
 
-/** What this entry holds already, in terms of the leadership it learned it from. */
+/** How far this entry has read the cluster state; `epoch` names the leadership at control that the state came from. */
 export interface WatchPosition {
   readonly epoch: string
   readonly contractIndex: number
@@ -27,8 +27,8 @@
   readonly entries = new BehaviorSubject<readonly EntryIdentity[]>([])
   readonly lease: ContractLease
   readonly #logger: Logger
-  /** Upstreams that told this entry they leave, until control knows it too. */
-  readonly #leaving = new Set<string>()
+  /** Upstreams that announced to this entry that they leave, and that control still reports as ready. */
+  readonly #leavingUpstreamIds = new Set<string>()
   #position: WatchPosition = { epoch: '', contractIndex: 0, upstreamVersion: 0 }
 
   constructor(opts: ClusterViewOptions) {
@@ -40,23 +40,23 @@
     return this.#position
   }
 
-  /** The contract of a workspace; undefined where there is none. */
-  contractOf(workspace: string): Contract | undefined {
+  /** Returns undefined if the workspace has no contract. */
+  getContract(workspace: string): Contract | undefined {
     return this.contracts.value.get(workspace)?.contract
   }
 
   /**
-   * Takes an update to a watch request sent at `sentMs`. False where the update is older than what is
-   * held: then nothing of it is taken, and the contract lease is not renewed by it.
+   * Applies the answer to a watch request that was sent at `sentMs`, and renews the contract lease. Returns
+   * false and changes nothing if the update is older than the contracts held here.
    */
   apply(update: ClusterUpdate, sentMs: number): boolean {
     if (update.contractIndex < this.#position.contractIndex) {
       this.#logStaleUpdate(update)
       return false
     }
-    const anew = update.epoch !== this.#position.epoch
-    this.#takeContracts(update.contracts)
-    this.#takeUpstreams(update.upstreams, anew)
+    const isNewEpoch = update.epoch !== this.#position.epoch
+    this.#applyContracts(update.contracts)
+    this.#applyUpstreams(update.upstreams, isNewEpoch)
     this.entries.next(update.entries)
     const { epoch, contractIndex, upstreamVersion } = update
     this.#position = { epoch, contractIndex, upstreamVersion }
@@ -64,20 +64,20 @@
     return true
   }
 
-  /** Takes what an upstream told this entry itself: one that leaves gets no new work from now on. */
-  noteAnnouncement(upstreamId: string, announcement: Announcement): void {
+  /** Applies an announcement that an upstream sent to this entry: one that leaves gets no new work from now on. */
+  applyAnnouncement(upstreamId: string, announcement: Announcement): void {
     if (announcement.state === 'ready') {
-      this.#leaving.delete(upstreamId)
+      this.#leavingUpstreamIds.delete(upstreamId)
       return
     }
-    this.#leaving.add(upstreamId)
+    this.#leavingUpstreamIds.add(upstreamId)
     const known = this.upstreams.value.get(upstreamId)
     if (known?.state !== 'ready') return
     const upstreams = new Map(this.upstreams.value)
     this.upstreams.next(upstreams.set(upstreamId, { ...known, state: 'leaving' }))
   }
 
-  #takeContracts(records: readonly ContractRecord[]): void {
+  #applyContracts(records: readonly ContractRecord[]): void {
     if (records.length === 0) return
     const contracts = new Map(this.contracts.value)
     for (const record of records) {
@@ -92,9 +92,9 @@
     this.contracts.next(contracts)
   }
 
-  #takeUpstreams(changed: readonly UpstreamView[], anew: boolean): void {
-    if (changed.length === 0 && !anew) return
-    const upstreams = new Map(anew ? [] : this.upstreams.value)
+  #applyUpstreams(changed: readonly UpstreamView[], isNewEpoch: boolean): void {
+    if (changed.length === 0 && !isNewEpoch) return
+    const upstreams = new Map(isNewEpoch ? [] : this.upstreams.value)
     for (const upstream of changed) {
       upstreams.set(upstream.upstreamId, this.#withLocalState(upstream))
     }
@@ -102,9 +102,9 @@
   }
 
   #withLocalState(upstream: UpstreamView): UpstreamView {
-    if (!this.#leaving.has(upstream.upstreamId)) return upstream
+    if (!this.#leavingUpstreamIds.has(upstream.upstreamId)) return upstream
     if (upstream.state === 'ready') return { ...upstream, state: 'leaving' }
-    this.#leaving.delete(upstream.upstreamId)
+    this.#leavingUpstreamIds.delete(upstream.upstreamId)
     return upstream
   }
 
@@ -126,7 +126,7 @@
       changeIndex: record.changeIndex,
       heldRevision: held.revision,
       heldChangeIndex: held.changeIndex,
-      reason: 'a contract never goes back to an older change',
+      reason: 'the contract is older than the one held here',
     })
   }
 }
