--- a/rpc/peer/src/callEnd.ts
+++ b/rpc/peer/src/callCancellation.ts
@@ -2,50 +2,50 @@
 import { setDeadline, type Clock, type Timer } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 
-export interface CallEndOptions {
+export interface CallCancellationOptions {
   clock: Clock
   address: string
   timeoutMs: number
-  unwanted?: AbortSignal | undefined
+  signal?: AbortSignal | undefined
   /** Told at the deadline, before the call is. */
   onDeadline: () => void
 }
 
-export class CallEnd {
+export class CallCancellation {
   /** From then on the peer may have taken the call. */
-  mayHaveLeft = false
+  mayHaveBeenSent = false
   /** Rejects at the end with `unreachable` where nothing can have left, else `outcome-unknown`. */
-  readonly reached: Promise<never>
-  readonly #opts: CallEndOptions
+  readonly cancelled: Promise<never>
+  readonly #opts: CallCancellationOptions
   readonly #timer: Timer
   #reject: ((error: NettlespurError) => void) | undefined
 
-  constructor(opts: CallEndOptions) {
+  constructor(opts: CallCancellationOptions) {
     this.#opts = opts
-    this.reached = new Promise<never>((_, reject) => {
+    this.cancelled = new Promise<never>((_, reject) => {
       this.#reject = reject
     })
     // Nobody may be waiting for it any more.
-    this.reached.catch(() => undefined)
+    this.cancelled.catch(() => undefined)
     this.#timer = setDeadline(opts.clock, opts.timeoutMs, () => {
       opts.onDeadline()
-      this.#refuse(`no whole answer within ${opts.timeoutMs} ms`)
+      this.#fail(`no whole answer within ${opts.timeoutMs} ms`)
     })
-    if (opts.unwanted?.aborted === true) this.#leave()
-    opts.unwanted?.addEventListener('abort', this.#leave, { once: true })
+    if (opts.signal?.aborted === true) this.#abort()
+    opts.signal?.addEventListener('abort', this.#abort, { once: true })
   }
 
-  cancel(): void {
+  dispose(): void {
     this.#timer.cancel()
-    this.#opts.unwanted?.removeEventListener('abort', this.#leave)
+    this.#opts.signal?.removeEventListener('abort', this.#abort)
   }
 
-  readonly #leave = (): void => {
-    this.#refuse('the answer is wanted no more')
+  readonly #abort = (): void => {
+    this.#fail('the answer is wanted no more')
   }
 
-  #refuse(reason: string): void {
-    const kind = this.mayHaveLeft ? 'outcome-unknown' : 'unreachable'
+  #fail(reason: string): void {
+    const kind = this.mayHaveBeenSent ? 'outcome-unknown' : 'unreachable'
     this.#reject?.(new NettlespurError(kind, `${this.#opts.address}: ${reason}`))
   }
 }
--- a/rpc/peer/src/callLimits.ts
+++ b/rpc/peer/src/callLimits.ts
@@ -13,13 +13,13 @@
   readonly unwanted?: AbortSignal | undefined
 }
 
-const key = 'callLimits'
+const contextKey = 'callLimits'
 
 /** Options for a procedure of a client. */
 export function limitCall(limits: CallLimits): { context: Record<string, unknown> } {
-  return { context: { [key]: limits } }
+  return { context: { [contextKey]: limits } }
 }
 
-export function readLimits({ context }: Operation): CallLimits {
-  return (context[key] as CallLimits | undefined) ?? {}
+export function readCallLimits({ context }: Operation): CallLimits {
+  return (context[contextKey] as CallLimits | undefined) ?? {}
 }
--- a/rpc/peer/src/peerCalls.ts
+++ b/rpc/peer/src/peerCalls.ts
@@ -13,8 +13,8 @@
 } from '@trpc/client'
 import type { AnyTRPCRouter } from '@trpc/server'
 import { observableToPromise } from '@trpc/server/observable'
-import { CallEnd } from './callEnd.js'
-import { readLimits, type CallLimits } from './callLimits.js'
+import { CallCancellation } from './callCancellation.js'
+import { readCallLimits, type CallLimits } from './callLimits.js'
 import type { RpcClientOptions } from './createRpcClient.js'
 import { PeerConnection } from './peerConnection.js'
 
@@ -24,7 +24,7 @@
   readonly #opts: RpcClientOptions
   readonly #connections = new Set<PeerConnection>()
   /** The one that new calls go over. */
-  #connection: PeerConnection | undefined
+  #currentConnection: PeerConnection | undefined
 
   constructor(opts: RpcClientOptions) {
     this.#opts = opts
@@ -37,83 +37,88 @@
 
   /** Errors: rejects with `unreachable` where nothing of the call can have left, else `outcome-unknown`. */
   async run(runtime: TRPCClientRuntime, op: Operation): Promise<PeerResult> {
-    const connection = this.#connect()
-    const number = connection.startCall()
-    const limits = readLimits(op)
-    const silence = this.#watchSilence(connection, number, limits)
-    const end = this.#createEnd(connection, number, limits)
+    const connection = this.#getOrOpenConnection()
+    const callNumber = connection.startCall()
+    const limits = readCallLimits(op)
+    const silence = this.#watchSilence(connection, callNumber, limits)
+    const cancellation = this.#createCancellation(connection, callNumber, limits)
     try {
-      await Promise.race([connection.opened, end.reached])
-      end.mayHaveLeft = true
-      const result = await Promise.race([send(connection, runtime, op), end.reached])
-      connection.noteAnswer(number)
-      this.#takeBack(connection)
+      await Promise.race([connection.opened, cancellation.cancelled])
+      cancellation.mayHaveBeenSent = true
+      const result = await Promise.race([send(connection, runtime, op), cancellation.cancelled])
+      connection.recordAnswer(callNumber)
+      this.#reinstate(connection)
       return result
     } finally {
       silence?.cancel()
-      end.cancel()
+      cancellation.dispose()
       connection.endCall()
-      this.#dropIfUnused(connection)
+      this.#closeIfUnused(connection)
     }
   }
 
-  #createEnd(connection: PeerConnection, number: number, limits: CallLimits): CallEnd {
+  #createCancellation(
+    connection: PeerConnection,
+    callNumber: number,
+    limits: CallLimits,
+  ): CallCancellation {
     const { clock, address, timeoutMs } = this.#opts
     const { messageCount } = connection
-    return new CallEnd({
+    return new CallCancellation({
       clock,
       address,
       timeoutMs: limits.timeoutMs ?? timeoutMs,
-      unwanted: limits.unwanted,
+      signal: limits.unwanted,
       onDeadline: () => {
         if (connection.messageCount === messageCount) connection.destroy()
-        else this.#replaceSilent(connection, number)
+        else this.#replaceIfSilent(connection, callNumber)
       },
     })
   }
 
   #watchSilence(
     connection: PeerConnection,
-    number: number,
+    callNumber: number,
     { silentAfterMs }: CallLimits,
   ): Timer | undefined {
     if (silentAfterMs === undefined) return undefined
     return setDeadline(this.#opts.clock, silentAfterMs, () => {
-      this.#replaceSilent(connection, number)
+      this.#replaceIfSilent(connection, callNumber)
     })
   }
 
   /** Calls on it go on; the next one opens another connection. */
-  #replaceSilent(connection: PeerConnection, number: number): void {
-    if (connection.newestAnswered >= number || this.#connection !== connection) return
-    this.#connection = undefined
+  #replaceIfSilent(connection: PeerConnection, callNumber: number): void {
+    if (connection.highestAnsweredCall >= callNumber || this.#currentConnection !== connection)
+      return
+    this.#currentConnection = undefined
   }
 
   /**
    * A connection that was replaced and answers after all is slow, not silent. Over a link on which answers take
    * longer than the silence allowed, each call would else open a connection, and none would be answered in time.
    */
-  #takeBack(connection: PeerConnection): void {
-    const newer = this.#connection
-    if (newer === connection || connection.isClosed || (newer?.newestAnswered ?? 0) > 0) return
-    this.#connection = connection
-    if (newer !== undefined) this.#dropIfUnused(newer)
+  #reinstate(connection: PeerConnection): void {
+    const newer = this.#currentConnection
+    if (newer === connection || connection.isClosed || (newer?.highestAnsweredCall ?? 0) > 0) return
+    this.#currentConnection = connection
+    if (newer !== undefined) this.#closeIfUnused(newer)
   }
 
-  #dropIfUnused(connection: PeerConnection): void {
-    if (connection === this.#connection && !connection.isClosed) return
+  #closeIfUnused(connection: PeerConnection): void {
+    if (connection === this.#currentConnection && !connection.isClosed) return
     if (connection.callsInProgress > 0) return
     connection.destroy()
     this.#connections.delete(connection)
   }
 
-  #connect(): PeerConnection {
-    if (this.#connection === undefined || this.#connection.isClosed) {
-      if (this.#connection !== undefined) this.#dropIfUnused(this.#connection)
-      this.#connection = new PeerConnection(this.#opts)
-      this.#connections.add(this.#connection)
+  #getOrOpenConnection(): PeerConnection {
+    if (this.#currentConnection === undefined || this.#currentConnection.isClosed) {
+      if (this.#currentConnection !== undefined) this.#closeIfUnused(this.#currentConnection)
+      this.#currentConnection = new PeerConnection(this.#opts)
+      this.#connections.add(this.#currentConnection)
     }
-    return this.#connection
+    return this.#currentConnection
   }
 }
 
--- a/rpc/peer/src/peerConnection.ts
+++ b/rpc/peer/src/peerConnection.ts
@@ -27,10 +27,10 @@
   readonly #address: string
   #socket: WebSocket | undefined
   #closed = false
-  #messages = 0
-  #calls = 0
+  #messageCount = 0
+  #callCount = 0
   #callsInProgress = 0
-  #newestAnswered = 0
+  #highestAnsweredCall = 0
   #settle: { resolve: () => void; reject: (error: NettlespurError) => void } | undefined
 
   constructor(opts: PeerConnectionOptions) {
@@ -40,7 +40,7 @@
     })
     this.opened.catch(() => undefined)
     const adopt = (socket: WebSocket): void => {
-      this.#adopt(socket)
+      this.#attachSocket(socket)
     }
     const scheme = opts.ca === undefined ? 'ws' : 'wss'
     this.client = createWSClient({
@@ -55,7 +55,7 @@
 
   /** Messages received so far: a connection on which none comes is silent. */
   get messageCount(): number {
-    return this.#messages
+    return this.#messageCount
   }
 
   get callsInProgress(): number {
@@ -63,19 +63,19 @@
   }
 
   /** The highest number of a call that was answered. */
-  get newestAnswered(): number {
-    return this.#newestAnswered
+  get highestAnsweredCall(): number {
+    return this.#highestAnsweredCall
   }
 
   /** The number of the next call. */
   startCall(): number {
     this.#callsInProgress += 1
-    this.#calls += 1
-    return this.#calls
+    this.#callCount += 1
+    return this.#callCount
   }
 
-  noteAnswer(number: number): void {
-    this.#newestAnswered = Math.max(this.#newestAnswered, number)
+  recordAnswer(callNumber: number): void {
+    this.#highestAnsweredCall = Math.max(this.#highestAnsweredCall, callNumber)
   }
 
   endCall(): void {
@@ -84,32 +84,32 @@
 
   /** Cuts the connection; calls on it fail at once. */
   destroy(): void {
-    this.#end('the connection was closed')
+    this.#markClosed('the connection was closed')
     this.#socket?.terminate()
   }
 
-  #adopt(socket: WebSocket): void {
+  #attachSocket(socket: WebSocket): void {
     this.#socket = socket
     socket.on('open', () => this.#settle?.resolve())
     socket.on('message', () => {
-      this.#messages += 1
+      this.#messageCount += 1
     })
     socket.on('unexpected-response', (request, response) => {
       if (response.statusCode === unauthorizedStatus)
         this.#settle?.reject(createUnauthorizedError())
-      this.#end(`it answered ${response.statusCode ?? 0}`)
+      this.#markClosed(`it answered ${response.statusCode ?? 0}`)
       request.destroy()
       socket.terminate()
     })
     socket.on('error', (cause) => {
-      this.#end(cause.message)
+      this.#markClosed(cause.message)
     })
     socket.on('close', () => {
-      this.#end('the peer closed the connection')
+      this.#markClosed('the peer closed the connection')
     })
   }
 
-  #end(reason: string): void {
+  #markClosed(reason: string): void {
     this.#closed = true
     this.#settle?.reject(new NettlespurError('unreachable', `${this.#address}: ${reason}`))
     void this.client.close()
@@ -117,7 +117,7 @@
 }
 
 /** A WebSocket class whose one instance is handed over as soon as it is made. */
-function createSocketClass(opts: PeerConnectionOptions, adopt: (socket: WebSocket) => void) {
+function createSocketClass(opts: PeerConnectionOptions, onSocket: (socket: WebSocket) => void) {
   return class extends WebSocket {
     constructor(url: string) {
       super(url, {
@@ -126,7 +126,7 @@
         maxPayload: messageBytesMax,
         ...(opts.ca === undefined ? {} : { ca: opts.ca }),
       })
-      adopt(this)
+      onSocket(this)
     }
   }
 }
--- a/rpc/peer/src/servedConnection.ts
+++ b/rpc/peer/src/servedConnection.ts
@@ -6,7 +6,7 @@
 import type { WebSocket, WebSocketServer } from 'ws'
 
 /** Tells the peer that this side is going away. */
-const goingAway = 1001
+const goingAwayCode = 1001
 
 export interface ServedConnectionOptions {
   router: AnyTRPCRouter
@@ -32,7 +32,7 @@
         resolve()
       })
     })
-    const experimental_encoder = this.#createCounter()
+    const experimental_encoder = this.#createCountingEncoder()
     const handle = getWSConnectionHandler({ router, wss, experimental_encoder })
     handle(socket, request)
   }
@@ -44,7 +44,7 @@
   /** Closes once every call has its answer. */
   async drain(): Promise<void> {
     await firstValueFrom(this.#unanswered.pipe(filter((count) => count === 0)))
-    this.#socket.close(goingAway)
+    this.#socket.close(goingAwayCode)
     await this.closed
   }
 
@@ -53,7 +53,7 @@
   }
 
   /** Every call is decoded once and every answer encoded once. */
-  #createCounter(): Encoder {
+  #createCountingEncoder(): Encoder {
     return {
       encode: (data) => {
         const encoded = jsonEncoder.encode(data)
--- a/rpc/peer/test/connections.test.ts
+++ b/rpc/peer/test/connections.test.ts
@@ -42,7 +42,7 @@
   await trial.clock.advance(timeoutMs)
   t.like((await lost).extract(), { kind: 'outcome-unknown' })
   t.is((await trial.ask()).extract(), 'asked')
-  t.is(trial.proxy.opened, 2)
+  t.is(trial.proxy.openedCount, 2)
 })
 
 test('a call that ends at its deadline leaves the others of its connection alone', async (t) => {
@@ -55,7 +55,7 @@
   await trial.clock.advance(timeoutMs)
   t.like((await slow).extract(), { kind: 'outcome-unknown' })
   t.is((await trial.ask()).extract(), 'asked')
-  t.is(trial.proxy.opened, 1)
+  t.is(trial.proxy.openedCount, 1)
 })
 
 test('a planned stop gives each call its answer before it closes', async (t) => {
--- a/rpc/peer/test/silentProxy.ts
+++ b/rpc/peer/test/silentProxy.ts
@@ -3,21 +3,21 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 
 export class SilentProxy {
-  opened = 0
+  openedCount = 0
   readonly #server: Server
   readonly #sockets = new Set<Socket>()
   /** The sides from which calls come. */
-  readonly #callers = new Set<Socket>()
+  readonly #callerSockets = new Set<Socket>()
 
   private constructor(target: string) {
     const separator = target.lastIndexOf(':')
     const to = { host: target.slice(0, separator), port: Number(target.slice(separator + 1)) }
-    this.#server = createServer((inner) => {
-      this.opened += 1
-      const outer = connect(to)
-      this.#callers.add(inner)
-      inner.pipe(outer).pipe(inner)
-      for (const socket of [inner, outer]) {
+    this.#server = createServer((callerSocket) => {
+      this.openedCount += 1
+      const targetSocket = connect(to)
+      this.#callerSockets.add(callerSocket)
+      callerSocket.pipe(targetSocket).pipe(callerSocket)
+      for (const socket of [callerSocket, targetSocket]) {
         this.#sockets.add(socket)
         socket.on('error', () => socket.destroy())
       }
@@ -45,7 +45,7 @@
 
   /** From now on the connections that are open carry answers, and no calls. */
   silenceCalls(): void {
-    for (const socket of this.#callers) {
+    for (const socket of this.#callerSockets) {
       socket.unpipe()
       socket.resume()
     }
