--- a/rpc/peer/src/callCancellation.ts
+++ b/rpc/peer/src/callCancellation.ts
@@ -1,4 +1,4 @@
-/** The end of one call's wait: its deadline, or that its answer is wanted no more. */
+/** Ends the wait for the answer to one call, at its deadline or when the caller aborts it. */
 import { setDeadline, type Clock, type Timer } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 
@@ -7,14 +7,17 @@
   address: string
   timeoutMs: number
   signal?: AbortSignal | undefined
-  /** Told at the deadline, before the call is. */
+  /** Called when the deadline passes, before `cancelled` rejects. */
   onDeadline: () => void
 }
 
 export class CallCancellation {
-  /** From then on the peer may have taken the call. */
+  /** Set once the connection is open: from then on the peer may have received the call. */
   mayHaveBeenSent = false
-  /** Rejects at the end with `unreachable` where nothing can have left, else `outcome-unknown`. */
+  /**
+   * Rejects at the deadline or on abort: with `unreachable` if the call cannot have been sent, otherwise with
+   * `outcome-unknown`. Never resolves.
+   */
   readonly cancelled: Promise<never>
   readonly #opts: CallCancellationOptions
   readonly #timer: Timer
@@ -25,7 +28,7 @@
     this.cancelled = new Promise<never>((_, reject) => {
       this.#reject = reject
     })
-    // Nobody may be waiting for it any more.
+    // Prevents an unhandled rejection when the call has settled and nothing awaits this promise.
     this.cancelled.catch(() => undefined)
     this.#timer = setDeadline(opts.clock, opts.timeoutMs, () => {
       opts.onDeadline()
@@ -41,7 +44,7 @@
   }
 
   readonly #abort = (): void => {
-    this.#fail('the answer is wanted no more')
+    this.#fail('the caller aborted the call')
   }
 
   #fail(reason: string): void {
--- a/rpc/peer/src/callPeer.ts
+++ b/rpc/peer/src/callPeer.ts
@@ -1,4 +1,4 @@
-/** Runs one call of a peer and tells its failure by the error table. */
+/** Runs one call to a peer and converts every failure to an error of the error table. */
 import {
   fromRpcResult,
   NettlespurError,
@@ -8,7 +8,10 @@
 import { TRPCClientError } from '@trpc/client'
 import { EitherAsync } from 'purify-ts'
 
-/** Runs one procedure that answers with an RpcResult. Errors: the procedure's own, `unreachable`, `outcome-unknown`. */
+/**
+ * Runs one procedure that answers with an RpcResult. Errors: those of the procedure, `unauthorized`, `unreachable`,
+ * `outcome-unknown`.
+ */
 export function callPeer<T>(run: () => Promise<RpcResult<T>>): EitherAsync<NettlespurError, T> {
   return EitherAsync<unknown, RpcResult<T>>(run)
     .mapLeft(toPeerError)
--- a/rpc/peer/src/createRpcClient.ts
+++ b/rpc/peer/src/createRpcClient.ts
@@ -1,7 +1,7 @@
 /**
- * Calls one peer's tRPC router over one WebSocket, with a deadline on each call. The connection is opened
- * on demand; one on which nothing came between a call and its deadline is cut, and the next call opens a
- * new one. A peer that cannot be reached, or does not answer whole, is an error of the table.
+ * Calls the tRPC router of one peer over a WebSocket, with a deadline on each call. The connection is opened on
+ * demand. If it receives no message between the start of a call and its deadline, it is terminated, and the next
+ * call opens a new one. An unreachable peer or an incomplete answer is reported as an error of the error table.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import { createTRPCClient, TRPCClientError, type TRPCClient, type TRPCLink } from '@trpc/client'
@@ -17,13 +17,13 @@
   /** Deadline of each call, in milliseconds. */
   timeoutMs: number
   ca?: Buffer | undefined
-  /** Without it a call takes a third less processor time, but at rest 30 times the bytes. Default: true. */
+  /** Uncompressed, a call takes a third less CPU time, but idle traffic is 30 times the bytes. Default: true. */
   compresses?: boolean | undefined
 }
 
 export interface RpcClient<R extends AnyTRPCRouter> {
   readonly call: TRPCClient<R>
-  /** Closes its connection; calls in progress fail. */
+  /** Closes all connections to the peer; calls in progress fail. */
   close(): void
 }
 
--- a/rpc/peer/src/createRpcServer.ts
+++ b/rpc/peer/src/createRpcServer.ts
@@ -1,6 +1,6 @@
 /**
- * Serves one tRPC router to the other processes of the cluster over WebSockets. A connection opens only
- * with the cluster's peer key; whatever else comes is answered by the error table.
+ * Serves one tRPC router to the other processes of the cluster over WebSockets. An upgrade request without a
+ * valid peer key is refused with `unauthorized`; plain HTTP requests get an error of the error table.
  */
 import type { IncomingMessage } from 'node:http'
 import type { Duplex } from 'node:stream'
@@ -18,15 +18,15 @@
 import { ServedConnection } from './servedConnection.js'
 
 export interface RpcServerOptions {
-  /** `IP:PORT`; port 0 takes a free one. */
+  /** `IP:PORT` to listen on; port 0 picks a free port. */
   address: string
   router: AnyTRPCRouter
-  /** Keys of which any is accepted. */
+  /** A connection is accepted with any one of these keys. */
   peerKeys: readonly string[]
   tls?: TlsFiles | undefined
 }
 
-/** Errors: rejects where the address cannot be bound. */
+/** Errors: rejects if the address cannot be bound. */
 export async function createRpcServer(opts: RpcServerOptions): Promise<HttpServer> {
   const server = await createHttpServer({ address: opts.address, routes: [], tls: opts.tls })
   const connections = serveConnections(opts, server)
--- a/rpc/peer/src/index.ts
+++ b/rpc/peer/src/index.ts
@@ -1,4 +1,4 @@
-/** tRPC between the product's own processes: keyed, with a deadline on each call. */
+/** tRPC between the processes of a cluster, authenticated by a peer key and with a deadline on each call. */
 export { limitCall, type CallLimits } from './callLimits.js'
 export { callPeer } from './callPeer.js'
 export { createRpcClient, type RpcClient, type RpcClientOptions } from './createRpcClient.js'
--- a/rpc/peer/src/messageCodec.ts
+++ b/rpc/peer/src/messageCodec.ts
@@ -1,11 +1,11 @@
-/** What both sides agree on for the bytes of their WebSocket. */
+/** WebSocket settings that client and server share: message size limit and compression. */
 
-/** Longest message either side takes. */
+/** Longest message that either side accepts. */
 export const messageBytesMax = 8_388_608
 
 /**
- * The compression keeps its window from message to message, since what peers say at rest is nearly the same
- * each time. Window and memory level bound what one connection holds for it to about 150 KB a side.
+ * The compression context is kept between messages, because the messages of idle peers are nearly identical.
+ * Window size and memory level limit its memory to about 150 KB per connection on each side.
  */
 export const compression = {
   threshold: 0,
--- a/rpc/peer/src/peerCalls.ts
+++ b/rpc/peer/src/peerCalls.ts
@@ -1,7 +1,8 @@
 /**
- * The calls of one peer and the connections they are on. A connection on which nothing came between a call
- * and its deadline is cut. One that answers neither a call nor any later one is replaced: bytes of earlier
- * answers may still arrive on it while nothing goes the other way.
+ * Runs calls to one peer and manages the connections that they use. A connection that receives no message between
+ * the start of a call and its deadline is terminated. One that answers neither a call nor a later one within
+ * `silentAfterMs` or the deadline is replaced for new calls, even if messages arrive: these may be answers to
+ * earlier calls, on a connection that no longer delivers calls.
  */
 import { setDeadline, type Timer } from '@nettlespur/core.clock'
 import {
@@ -23,7 +24,7 @@
 export class PeerCalls {
   readonly #opts: RpcClientOptions
   readonly #connections = new Set<PeerConnection>()
-  /** The one that new calls go over. */
+  /** The connection for new calls. */
   #currentConnection: PeerConnection | undefined
 
   constructor(opts: RpcClientOptions) {
@@ -35,7 +36,10 @@
     this.#connections.clear()
   }
 
-  /** Errors: rejects with `unreachable` where nothing of the call can have left, else `outcome-unknown`. */
+  /**
+   * Errors: rejects with `unauthorized` if the peer refuses the key, with `unreachable` if the call cannot have been
+   * sent, otherwise with `outcome-unknown` or the error of tRPC's link.
+   */
   async run(runtime: TRPCClientRuntime, op: Operation): Promise<PeerResult> {
     const connection = this.#getOrOpenConnection()
     const callNumber = connection.startCall()
@@ -87,7 +91,10 @@
     })
   }
 
-  /** Calls on it go on; the next one opens another connection. */
+  /**
+   * Makes the next call open a new connection, unless `connection` has answered `callNumber` or a later call.
+   * Calls in progress continue on it.
+   */
   #replaceIfSilent(connection: PeerConnection, callNumber: number): void {
     if (connection.highestAnsweredCall >= callNumber || this.#currentConnection !== connection)
       return
@@ -95,8 +102,9 @@
   }
 
   /**
-   * A connection that was replaced and answers after all is slow, not silent. Over a link on which answers take
-   * longer than the silence allowed, each call would else open a connection, and none would be answered in time.
+   * Makes a replaced connection that answers after all the current one again, unless its successor has answered too:
+   * it is slow, not silent. Otherwise, if answers take longer than `silentAfterMs`, each call would open a new
+   * connection, and none would answer in time.
    */
   #reinstate(connection: PeerConnection): void {
     const newer = this.#currentConnection
@@ -129,7 +137,7 @@
 ): Promise<PeerResult> {
   const link = wsLink<AnyTRPCRouter>({ client: connection.client })
   const next = (): never => {
-    throw new Error('the link of a connection is the last one')
+    throw new Error('wsLink is the last link of the chain and must not call the next one')
   }
   return observableToPromise(link(runtime)({ op, next })) as Promise<PeerResult>
 }
--- a/rpc/peer/src/peerConnection.ts
+++ b/rpc/peer/src/peerConnection.ts
@@ -1,6 +1,6 @@
 /**
- * One WebSocket to a peer, for many calls at a time. It is never opened again: tRPC's own reconnecting is
- * ended with the socket, so that no call leaves on another connection than the one it was made on.
+ * One WebSocket to a peer, which carries concurrent calls. It never reconnects: when the socket closes, the tRPC
+ * client is closed with it, so that tRPC cannot resend a call over another connection.
  */
 import { NettlespurError } from '@nettlespur/core.errors'
 import { createUnauthorizedError, formatBearerKey } from '@nettlespur/net.keys'
@@ -14,14 +14,14 @@
   /** `IP:PORT` of the peer. */
   address: string
   peerKey: string
-  /** Authority that signed the peer's certificate: set, it makes the connection use TLS. */
+  /** Certificate of the CA that signed the peer's certificate. The connection uses TLS if it is set. */
   ca?: Buffer | undefined
-  /** Without it a call takes a third less processor time, but at rest 30 times the bytes. Default: true. */
+  /** Uncompressed, a call takes a third less CPU time, but idle traffic is 30 times the bytes. Default: true. */
   compresses?: boolean | undefined
 }
 
 export class PeerConnection {
-  /** Settles once: rejects with `unreachable` or `unauthorized` where nothing can have left. */
+  /** Resolves when the socket is open; rejects with `unreachable` or `unauthorized` if it cannot be opened. */
   readonly opened: Promise<void>
   readonly client: TRPCWebSocketClient
   readonly #address: string
@@ -53,7 +53,7 @@
     return this.#closed
   }
 
-  /** Messages received so far: a connection on which none comes is silent. */
+  /** Number of messages received so far. A connection is silent while it does not increase. */
   get messageCount(): number {
     return this.#messageCount
   }
@@ -62,12 +62,12 @@
     return this.#callsInProgress
   }
 
-  /** The highest number of a call that was answered. */
+  /** The highest number of an answered call; 0 if none was answered. */
   get highestAnsweredCall(): number {
     return this.#highestAnsweredCall
   }
 
-  /** The number of the next call. */
+  /** Registers a call in progress and returns its number; numbers count up from 1. */
   startCall(): number {
     this.#callsInProgress += 1
     this.#callCount += 1
@@ -82,9 +82,9 @@
     this.#callsInProgress -= 1
   }
 
-  /** Cuts the connection; calls on it fail at once. */
+  /** Terminates the socket; calls in progress on it fail at once. */
   destroy(): void {
-    this.#markClosed('the connection was closed')
+    this.#markClosed('the connection was closed on this side')
     this.#socket?.terminate()
   }
 
@@ -97,7 +97,9 @@
     socket.on('unexpected-response', (request, response) => {
       if (response.statusCode === unauthorizedStatus)
         this.#settle?.reject(createUnauthorizedError())
-      this.#markClosed(`it answered ${response.statusCode ?? 0}`)
+      this.#markClosed(
+        `the peer answered the WebSocket upgrade with HTTP status ${response.statusCode ?? 0}`,
+      )
       request.destroy()
       socket.terminate()
     })
@@ -116,7 +118,7 @@
   }
 }
 
-/** A WebSocket class whose one instance is handed over as soon as it is made. */
+/** Returns a WebSocket class for the tRPC client that passes the socket to `onSocket` on construction. */
 function createSocketClass(opts: PeerConnectionOptions, onSocket: (socket: WebSocket) => void) {
   return class extends WebSocket {
     constructor(url: string) {
--- a/rpc/peer/src/rpcClients.ts
+++ b/rpc/peer/src/rpcClients.ts
@@ -1,8 +1,8 @@
-/** One client for each peer that is called, made on first use and closed with the others. */
+/** Holds one RPC client per peer address, created on first use; all are closed together. */
 import type { AnyTRPCRouter } from '@trpc/server'
 import { createRpcClient, type RpcClient, type RpcClientOptions } from './createRpcClient.js'
 
-/** As for each client. */
+/** Options shared by all clients. */
 export type RpcClientsOptions = Omit<RpcClientOptions, 'address'>
 
 export class RpcClients<R extends AnyTRPCRouter> {
--- a/rpc/peer/src/servedConnection.ts
+++ b/rpc/peer/src/servedConnection.ts
@@ -1,24 +1,24 @@
-/** One WebSocket that a peer opened, and the calls on it that have no answer yet. */
+/** Server side of one WebSocket, with a count of the calls on it that have no answer yet. */
 import type { IncomingMessage } from 'node:http'
 import { getWSConnectionHandler, jsonEncoder, type Encoder } from '@trpc/server/adapters/ws'
 import type { AnyTRPCRouter } from '@trpc/server'
 import { BehaviorSubject, filter, firstValueFrom } from 'rxjs'
 import type { WebSocket, WebSocketServer } from 'ws'
 
-/** Tells the peer that this side is going away. */
+/** WebSocket close code 1001: the endpoint is shutting down. */
 const goingAwayCode = 1001
 
 export interface ServedConnectionOptions {
   router: AnyTRPCRouter
-  /** The server that opened the socket. */
+  /** The server that accepted the socket. */
   wss: WebSocketServer
   socket: WebSocket
-  /** The request that asked for the connection. */
+  /** The HTTP upgrade request of the connection. */
   request: IncomingMessage
 }
 
 export class ServedConnection {
-  /** Resolves when the connection is gone. */
+  /** Resolves when the socket has closed. */
   readonly closed: Promise<void>
   readonly #socket: WebSocket
   readonly #unanswered = new BehaviorSubject(0)
@@ -41,7 +41,7 @@
     return this.#unanswered.value
   }
 
-  /** Closes once every call has its answer. */
+  /** Waits until every call is answered, then closes the connection. */
   async drain(): Promise<void> {
     await firstValueFrom(this.#unanswered.pipe(filter((count) => count === 0)))
     this.#socket.close(goingAwayCode)
@@ -52,12 +52,12 @@
     this.#socket.terminate()
   }
 
-  /** Every call is decoded once and every answer encoded once. */
+  /** Counts unanswered calls: tRPC decodes each call once and encodes each answer once. */
   #createCountingEncoder(): Encoder {
     return {
       encode: (data) => {
         const encoded = jsonEncoder.encode(data)
-        // After the answer has been handed to the socket, so that a close comes behind it.
+        // Decremented only after tRPC has written the answer to the socket, so that drain() closes behind it.
         queueMicrotask(() => {
           this.#unanswered.next(Math.max(0, this.#unanswered.value - 1))
         })
--- a/rpc/peer/test/callLimits.test.ts
+++ b/rpc/peer/test/callLimits.test.ts
@@ -1,4 +1,4 @@
-/** Calls with limits of their own, and what they do to the connection that they share with others. */
+/** Per-call limits, and their effect on the connection shared with other calls. */
 import test, { type ExecutionContext } from 'ava'
 import { ManualClock } from '@nettlespur/core.clock'
 import { createKey } from '@nettlespur/net.keys'
@@ -45,7 +45,7 @@
   return { clock, proxy, release, ask, wait }
 }
 
-test('a connection that carries only answers to earlier calls is replaced, and they still arrive', async (t) => {
+test('a connection that delivers answers but no new calls is replaced, and its earlier answers still arrive', async (t) => {
   const { clock, proxy, release, ask, wait } = await startTrial(t)
   const { answer: earlier } = await wait()
   proxy.silenceCalls()
@@ -59,7 +59,7 @@
   t.like((await lost).extract(), { kind: 'outcome-unknown' })
 })
 
-test('a slow call has its answer after further calls went over a new connection', async (t) => {
+test('a slow call gets its answer after later calls moved to a new connection', async (t) => {
   const { clock, proxy, release, ask, wait } = await startTrial(t)
   const { answer: slow } = await wait({ silentAfterMs })
   await clock.advance(silentAfterMs)
@@ -69,7 +69,7 @@
   t.is((await slow).extract(), 'whole')
 })
 
-test('a connection that answered a later call is kept', async (t) => {
+test('a connection that has answered a later call is not replaced', async (t) => {
   const { clock, proxy, release, ask, wait } = await startTrial(t)
   const { answer: slow } = await wait({ silentAfterMs })
   t.is((await ask()).extract(), 'asked')
@@ -80,7 +80,7 @@
   t.is((await slow).extract(), 'whole')
 })
 
-test('a call may have a deadline of its own, longer than that of its client', async (t) => {
+test('a call can have a longer deadline than its client', async (t) => {
   const { clock, release, wait } = await startTrial(t)
   const { answer } = await wait({ timeoutMs: 3 * timeoutMs })
   await clock.advance(2 * timeoutMs)
@@ -88,7 +88,7 @@
   t.is((await answer).extract(), 'late')
 })
 
-test('a call whose answer is wanted no more ends at once, and its connection goes on', async (t) => {
+test('an aborted call fails at once, and its connection stays in use', async (t) => {
   const { proxy, ask, wait } = await startTrial(t)
   const unwanted = new AbortController()
   const { answer } = await wait({ unwanted: unwanted.signal })
--- a/rpc/peer/test/connections.test.ts
+++ b/rpc/peer/test/connections.test.ts
@@ -32,7 +32,7 @@
   return { clock, ...held, server, proxy, ask, wait, close }
 }
 
-test('a connection that went silent is cut at the deadline of a call, and the next call opens a new one', async (t) => {
+test('a silent connection is terminated at the deadline of a call, and the next call opens a new one', async (t) => {
   const trial = await startTrial()
   t.teardown(() => trial.close())
   t.is((await trial.ask()).extract(), 'asked')
@@ -45,7 +45,7 @@
   t.is(trial.proxy.openedCount, 2)
 })
 
-test('a call that ends at its deadline leaves the others of its connection alone', async (t) => {
+test('a call that reaches its deadline does not close a connection that still answers', async (t) => {
   const trial = await startTrial()
   t.teardown(() => trial.close())
   const taken = firstValueFrom(trial.waiting)
@@ -58,7 +58,7 @@
   t.is(trial.proxy.openedCount, 1)
 })
 
-test('a planned stop gives each call its answer before it closes', async (t) => {
+test('draining the server answers every call before the connection closes', async (t) => {
   const trial = await startTrial()
   t.teardown(() => trial.close())
   const taken = firstValueFrom(trial.waiting)
@@ -72,7 +72,7 @@
   t.is(trial.server.inFlight(), 0)
 })
 
-test('a peer that ends while a call waits leaves its outcome unknown at once', async (t) => {
+test('a call in progress fails at once with outcome-unknown when the peer drops the connection', async (t) => {
   const trial = await startTrial()
   t.teardown(() => trial.close())
   const taken = firstValueFrom(trial.waiting)
@@ -82,7 +82,7 @@
   t.like((await lost).extract(), { kind: 'outcome-unknown' })
 })
 
-test('a peer that never completes the connection is unreachable: nothing of the call has left', async (t) => {
+test('a call fails with unreachable when the peer never completes the WebSocket handshake', async (t) => {
   const sockets = new Set<Socket>()
   const mute = createServer((socket) => sockets.add(socket.on('error', () => socket.destroy())))
   mute.listen(0, '127.0.0.1')
--- a/rpc/peer/test/heldRouter.ts
+++ b/rpc/peer/test/heldRouter.ts
@@ -1,9 +1,9 @@
-/** A router for tests of connections: one call is answered at once, another once it is released. */
+/** Test router with one procedure that answers at once and one that answers when the test releases it. */
 import type { RpcResult } from '@nettlespur/core.errors'
 import { initTRPC } from '@trpc/server'
 import { Subject, firstValueFrom } from 'rxjs'
 
-/** `wait` answers with what `release` is given, and `waiting` tells that it was taken; `ask` answers at once. */
+/** `ask` answers at once. `wait` emits on `waiting` when it is called and answers with the next value of `release`. */
 export function createHeldRouter() {
   const release = new Subject<string>()
   const waiting = new Subject<void>()
--- a/rpc/peer/test/rpc.test.ts
+++ b/rpc/peer/test/rpc.test.ts
@@ -21,7 +21,7 @@
   return Left(new NettlespurError('over-limit', 'odd', { retryAfterMs: 7 }))
 }
 
-test('a call carries its value, or its error with all it says', async (t) => {
+test('a call returns the value of the procedure, or its error with all fields', async (t) => {
   const peerKey = createKey()
   const server = await createRpcServer({ address: '127.0.0.1:0', router, peerKeys: [peerKey] })
   const client = createRpcClient<TestRouter>({
@@ -42,7 +42,7 @@
   await server.drain()
 })
 
-test('a wrong peer key is refused and runs nothing; a dead peer is unreachable', async (t) => {
+test('a wrong peer key is refused with unauthorized, and a stopped peer is unreachable', async (t) => {
   const server = await createRpcServer({ address: '127.0.0.1:0', router, peerKeys: [createKey()] })
   const opts = { clock, address: server.address, peerKey: createKey(), timeoutMs: 5000 }
   const client = createRpcClient<TestRouter>(opts)
--- a/rpc/peer/test/silentProxy.ts
+++ b/rpc/peer/test/silentProxy.ts
@@ -1,4 +1,4 @@
-/** A TCP proxy whose open connections can go silent for good while new ones work. */
+/** A TCP proxy that can permanently stop forwarding on its open connections while new ones still work. */
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 
@@ -6,7 +6,7 @@
   openedCount = 0
   readonly #server: Server
   readonly #sockets = new Set<Socket>()
-  /** The sides from which calls come. */
+  /** Sockets accepted from callers; the other sockets lead to the target. */
   readonly #callerSockets = new Set<Socket>()
 
   private constructor(target: string) {
@@ -35,7 +35,7 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`
   }
 
-  /** From now on the connections that are open carry nothing. */
+  /** Stops forwarding on all open connections, in both directions. */
   silence(): void {
     for (const socket of this.#sockets) {
       socket.unpipe()
@@ -43,7 +43,7 @@
     }
   }
 
-  /** From now on the connections that are open carry answers, and no calls. */
+  /** Stops forwarding calls on all open connections; answers still pass. */
   silenceCalls(): void {
     for (const socket of this.#callerSockets) {
       socket.unpipe()
