--- a/upstream/client/src/connectionPool.ts
+++ b/upstream/client/src/connectionPool.ts
@@ -15,7 +15,7 @@
 }
 
 /** Node asks this before it puts a connection among the idle ones; its types leave it out. */
-interface KeepsSockets {
+interface KeepAliveAgent {
   keepSocketAlive(socket: Duplex): boolean
 }
 
@@ -31,7 +31,7 @@
       timeout: opts.idleMsMax,
     }
     this.agent = opts.tls ? new https.Agent(agentOpts) : new http.Agent(agentOpts)
-    this.#askBeforeKeeping(this.agent as unknown as KeepsSockets)
+    this.#preventReuseOnceRetired(this.agent as unknown as KeepAliveAgent)
   }
 
   /** True where no connection is open and no call waits for one. */
@@ -51,7 +51,7 @@
     this.agent.destroy()
   }
 
-  #askBeforeKeeping(agent: KeepsSockets): void {
+  #preventReuseOnceRetired(agent: KeepAliveAgent): void {
     const keep = agent.keepSocketAlive.bind(agent)
     agent.keepSocketAlive = (socket) => !this.#retired && keep(socket)
   }
--- a/upstream/client/src/connectionPools.ts
+++ b/upstream/client/src/connectionPools.ts
@@ -1,7 +1,7 @@
 /** One connection pool for each upstream address, made on first use and dropped when many stand unused. */
 import { ConnectionPool, type ConnectionPoolOptions } from './connectionPool.js'
 
-const poolsKept = 256
+const poolCountBeforePruning = 256
 
 export class ConnectionPools {
   readonly #opts: ConnectionPoolOptions
@@ -14,7 +14,7 @@
   get(address: string): ConnectionPool {
     const known = this.#byAddress.get(address)
     if (known !== undefined) return known
-    if (this.#byAddress.size >= poolsKept) this.#dropUnused()
+    if (this.#byAddress.size >= poolCountBeforePruning) this.#removeUnused()
     const pool = new ConnectionPool(this.#opts)
     this.#byAddress.set(address, pool)
     return pool
@@ -31,7 +31,7 @@
     this.#byAddress.clear()
   }
 
-  #dropUnused(): void {
+  #removeUnused(): void {
     for (const [address, pool] of this.#byAddress) {
       if (pool.isUnused) this.#byAddress.delete(address)
     }
--- a/upstream/client/src/httpUpstreamClient.ts
+++ b/upstream/client/src/httpUpstreamClient.ts
@@ -60,7 +60,7 @@
     taskId: string,
     body: ReserveTask,
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#askStatus(address, 'PUT', taskPath(taskId), body)
+    return this.#requestStatus(address, 'PUT', taskPath(taskId), body)
   }
 
   override start(task: TaskReference): EitherAsync<NettlespurError, TaskStatus> {
@@ -86,12 +86,12 @@
   }
 
   override renew(address: string, body: RenewLeases): EitherAsync<NettlespurError, TaskStatus[]> {
-    const call = this.#prepare(address, 'POST', '/v1/leases')
+    const call = this.#createCallOptions(address, 'POST', '/v1/leases')
     return callJson({ ...call, json: body, answer: leasesAnswerSchema }).map(({ tasks }) => tasks)
   }
 
   override getTask(address: string, taskId: string): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#askStatus(address, 'GET', taskPath(taskId))
+    return this.#requestStatus(address, 'GET', taskPath(taskId))
   }
 
   override getAnswer(task: TaskReference): EitherAsync<NettlespurError, Buffer> {
@@ -99,7 +99,7 @@
   }
 
   override getTypedAnswer(task: TaskReference): EitherAsync<NettlespurError, TypedAnswer> {
-    const call = this.#prepare(task.address, 'GET', `${taskPath(task.taskId)}/answer`)
+    const call = this.#createCallOptions(task.address, 'GET', `${taskPath(task.taskId)}/answer`)
     const answerBytesMax = this.#opts.answerBytesMax ?? defaultAnswerBytesMax
     return callHttp({ ...call, answerBytesMax }).chain((answer) => {
       const contentType = answer.headers['content-type']
@@ -119,19 +119,23 @@
     verb: string,
     json: unknown,
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#askStatus(task.address, 'POST', `${taskPath(task.taskId)}/${verb}`, json)
+    return this.#requestStatus(task.address, 'POST', `${taskPath(task.taskId)}/${verb}`, json)
   }
 
-  #askStatus(
+  #requestStatus(
     address: string,
     method: string,
     path: string,
     json?: unknown,
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return callJson({ ...this.#prepare(address, method, path), json, answer: taskStatusSchema })
+    return callJson({
+      ...this.#createCallOptions(address, method, path),
+      json,
+      answer: taskStatusSchema,
+    })
   }
 
-  #prepare(address: string, method: string, path: string): CallHttpOptions {
+  #createCallOptions(address: string, method: string, path: string): CallHttpOptions {
     const { clock, key, ca } = this.#opts
     const pool = this.#pools.get(address)
     return {
--- a/upstream/client/src/readWholeAnswer.ts
+++ b/upstream/client/src/readWholeAnswer.ts
@@ -20,22 +20,24 @@
   expected: ExpectedAnswer,
 ): Either<NettlespurError, Buffer> {
   if (answer.status !== statusOk) return Left(toAnswerError(answer))
-  const fault = findFault(answer, expected)
-  if (fault === undefined) return Right(answer.body)
-  return Left(new NettlespurError('outcome-unknown', `answer of task ${expected.taskId}: ${fault}`))
+  const mismatch = findMismatch(answer, expected)
+  if (mismatch === undefined) return Right(answer.body)
+  return Left(
+    new NettlespurError('outcome-unknown', `answer of task ${expected.taskId}: ${mismatch}`),
+  )
 }
 
-function findFault(answer: HttpAnswer, expected: ExpectedAnswer): string | undefined {
+function findMismatch(answer: HttpAnswer, expected: ExpectedAnswer): string | undefined {
   const length = String(answer.body.length)
   return (
-    compare(answer, taskHeaders.taskId, expected.taskId) ??
-    compare(answer, taskHeaders.fence, String(expected.fence)) ??
-    compare(answer, taskHeaders.attempt, expected.attempt?.toString()) ??
-    compare(answer, 'content-length', length)
+    compareHeader(answer, taskHeaders.taskId, expected.taskId) ??
+    compareHeader(answer, taskHeaders.fence, String(expected.fence)) ??
+    compareHeader(answer, taskHeaders.attempt, expected.attempt?.toString()) ??
+    compareHeader(answer, 'content-length', length)
   )
 }
 
-function compare(
+function compareHeader(
   answer: HttpAnswer,
   header: string,
   expected: string | undefined,
