--- a/rpc/peer/src/peerConnection.ts
+++ b/rpc/peer/src/peerConnection.ts
@@ -39,13 +39,13 @@
       this.#settle = { resolve, reject }
     })
     this.opened.catch(() => undefined)
-    const adopt = (socket: WebSocket): void => {
+    const onSocket = (socket: WebSocket): void => {
       this.#attachSocket(socket)
     }
     const scheme = opts.ca === undefined ? 'ws' : 'wss'
     this.client = createWSClient({
       url: `${scheme}://${opts.address}`,
-      WebSocket: createSocketClass(opts, adopt) as never,
+      WebSocket: createSocketClass(opts, onSocket) as never,
     })
   }
 
