--- a/upstream/client/src/connectionPool.ts
+++ b/upstream/client/src/connectionPool.ts
@@ -1,20 +1,20 @@
 /**
- * The kept connections to one upstream. A pool whose connection went silent is retired: its idle
- * connections are closed at once, its busy ones after their answer, and no later call uses it.
+ * Keep-alive connections to one upstream. A pool is retired when a call on it times out: its idle connections are
+ * closed at once, the busy ones after their answer, and no later call uses it.
  */
 import http from 'node:http'
 import https from 'node:https'
 import type { Duplex } from 'node:stream'
 
 export interface ConnectionPoolOptions {
-  /** Open connections at a time. */
+  /** Maximum number of connections open at a time. */
   connectionsMax: number
-  /** An idle connection is closed after this long, so that no call goes on one not proven lately. */
+  /** An idle connection is closed after this time, so that calls only reuse connections that worked recently. */
   idleMsMax: number
   tls: boolean
 }
 
-/** Node asks this before it puts a connection among the idle ones; its types leave it out. */
+/** Node calls this method before it keeps a connection for reuse; the type definitions of Node's Agent omit it. */
 interface KeepAliveAgent {
   keepSocketAlive(socket: Duplex): boolean
 }
@@ -34,7 +34,7 @@
     this.#preventReuseOnceRetired(this.agent as unknown as KeepAliveAgent)
   }
 
-  /** True where no connection is open and no call waits for one. */
+  /** True if no connection is open and no call waits for one. */
   get isUnused(): boolean {
     const { sockets, freeSockets, requests } = this.agent
     return [sockets, freeSockets, requests].every((held) => Object.keys(held).length === 0)
--- a/upstream/client/src/connectionPools.ts
+++ b/upstream/client/src/connectionPools.ts
@@ -1,4 +1,7 @@
-/** One connection pool for each upstream address, made on first use and dropped when many stand unused. */
+/**
+ * Holds one connection pool per upstream address, created on first use. Unused pools are removed when a pool is to be
+ * created and `poolCountBeforePruning` exist.
+ */
 import { ConnectionPool, type ConnectionPoolOptions } from './connectionPool.js'
 
 const poolCountBeforePruning = 256
@@ -20,7 +23,7 @@
     return pool
   }
 
-  /** Retires `pool`; a later pool of the same address stays. */
+  /** Retires `pool`. If a newer pool has replaced it for `address`, the newer one stays. */
   retire(address: string, pool: ConnectionPool): void {
     if (this.#byAddress.get(address) === pool) this.#byAddress.delete(address)
     pool.retire()
--- a/upstream/client/src/httpUpstreamClient.ts
+++ b/upstream/client/src/httpUpstreamClient.ts
@@ -1,6 +1,6 @@
 /**
- * Calls upstreams over HTTP, with kept connections and a deadline on each call. When a call to an address
- * ends in silence, that address's connections are distrusted and the next call opens a new one.
+ * Calls upstreams over HTTP, with keep-alive connections and a deadline on each call. When a call times out, the
+ * pool of its address is retired, since its connections may be dead, and the next call opens a new connection.
  */
 import { setMaxListeners } from 'node:events'
 import {
@@ -28,14 +28,14 @@
   clock: Clock
   /** Deadline of each call, in milliseconds. */
   timeoutMs?: number
-  /** Open connections to one upstream at a time. */
+  /** Maximum number of connections open to one upstream at a time. */
   connectionsPerUpstream?: number
-  /** An idle connection is closed after this long, in milliseconds. */
+  /** An idle connection is closed after this time, in milliseconds. */
   idleMsMax?: number
   answerBytesMax?: number
-  /** Sent to upstreams as a bearer key. */
+  /** Bearer key sent to upstreams. */
   key?: string | undefined
-  /** Authority that signed the upstreams' certificates: set, it makes calls use TLS. */
+  /** Certificate of the CA that signed the upstreams' certificates. Calls use TLS if it is set. */
   ca?: Buffer | undefined
 }
 
@@ -108,7 +108,7 @@
     })
   }
 
-  /** Gives up the calls in progress and closes every connection. */
+  /** Aborts the calls in progress and closes the connections. */
   close(): void {
     this.#closing.abort()
     this.#pools.destroyAll()
--- a/upstream/client/src/index.ts
+++ b/upstream/client/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls to upstreams by the task protocol. */
+/** Client for the task protocol of upstreams. */
 export { HttpUpstreamClient, type HttpUpstreamClientOptions } from './httpUpstreamClient.js'
 export { readWholeAnswer, type ExpectedAnswer } from './readWholeAnswer.js'
 export { UpstreamClient, type TaskReference, type TypedAnswer } from './upstreamClient.js'
--- a/upstream/client/src/readWholeAnswer.ts
+++ b/upstream/client/src/readWholeAnswer.ts
@@ -1,4 +1,4 @@
-/** Takes an answer only when it is whole and belongs to the task it was asked for. */
+/** Accepts an answer only if it is complete and belongs to the requested task. */
 import { taskHeaders } from '@nettlespur/api.schemas'
 import { NettlespurError } from '@nettlespur/core.errors'
 import { toAnswerError, type HttpAnswer } from '@nettlespur/net.client'
@@ -6,15 +6,18 @@
 
 const statusOk = 200
 
-/** What the headers of an answer must name. */
+/** Values that the headers of an answer must match. */
 export interface ExpectedAnswer {
   readonly taskId: string
   readonly fence: number
-  /** Checked where given: the answer to a short request names its attempt. */
+  /** Checked only if given: answers to short requests carry the number of their attempt. */
   readonly attempt?: number
 }
 
-/** Errors: `outcome-unknown` for an answer that is not whole or another's, and what the upstream told. */
+/**
+ * Returns the body of a complete answer. Errors: `outcome-unknown` if it is incomplete or belongs to another task,
+ * fence or attempt; the upstream's own error if the status is not 200.
+ */
 export function readWholeAnswer(
   answer: HttpAnswer,
   expected: ExpectedAnswer,
@@ -44,5 +47,5 @@
 ): string | undefined {
   const value = answer.headers[header]
   if (expected === undefined || value === expected) return undefined
-  return `${header} is ${String(value ?? 'absent')} instead of ${expected}`
+  return `header ${header} is ${String(value ?? 'absent')}, expected ${expected}`
 }
--- a/upstream/client/src/upstreamClient.ts
+++ b/upstream/client/src/upstreamClient.ts
@@ -1,12 +1,12 @@
 /**
- * Calls to upstreams by the task protocol. The HTTP client implements it; tests give fakes. Every error
- * other than `unreachable` and the upstream's own refusal leaves open whether the call took effect.
+ * Interface to the task protocol of upstreams, implemented by the HTTP client and by fakes in tests. After any error
+ * other than `unreachable` and a refusal by the upstream, it is unknown whether the call took effect.
  */
 import type { RenewLeases, ReserveTask, TaskStatus } from '@nettlespur/api.schemas'
 import type { NettlespurError } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
 
-/** One task on one upstream, under the fence of its placement. */
+/** Identifies a task on an upstream, with the fencing token of its placement. */
 export interface TaskReference {
   /** `IP:PORT` of the upstream. */
   readonly address: string
@@ -14,39 +14,39 @@
   readonly fence: number
 }
 
-/** A whole answer, with the type the upstream gave it. */
+/** A complete answer, with the content type that the upstream sent. */
 export interface TypedAnswer {
   readonly contentType: string | undefined
   readonly body: Buffer
 }
 
 export abstract class UpstreamClient {
-  /** Idempotent for the same fence. Errors: `fence-too-low`, `upstream-refused`. */
+  /** Reserves a task on the upstream. Idempotent for the same fence. Errors: `fence-too-low`, `upstream-refused`. */
   abstract reserve(
     address: string,
     taskId: string,
     body: ReserveTask,
   ): EitherAsync<NettlespurError, TaskStatus>
-  /** Idempotent. Errors: `fence-too-low`, `upstream-refused` where the task is not reserved. */
+  /** Starts a reserved task. Idempotent. Errors: `fence-too-low`, `upstream-refused` if the task is not reserved. */
   abstract start(task: TaskReference): EitherAsync<NettlespurError, TaskStatus>
-  /** Answers once the checkpoint is whole; its id is in the status. */
+  /** Takes a checkpoint and answers once it is complete; the status holds its id. */
   abstract checkpoint(task: TaskReference): EitherAsync<NettlespurError, TaskStatus>
   abstract throttle(task: TaskReference, cpuShare: number): EitherAsync<NettlespurError, TaskStatus>
   /**
-   * Stops the task, after `graceMs` by force. Answers with the state it is in now: `stopped`,
-   * `never-runs`, `finished`, `failed`, or still `running` where the stop takes longer.
+   * Stops the task, by force after `graceMs`. Answers with its current state: `stopped`, `never-runs`, `finished`,
+   * `failed`, or `running` if the stop takes longer.
    */
   abstract stop(
     task: TaskReference,
     opts: { jobId: string; graceMs: number },
   ): EitherAsync<NettlespurError, TaskStatus>
-  /** Renews many leases of one upstream; the answer has one status for each, in order. */
+  /** Renews several leases on one upstream; answers with one status per lease, in the order of the request. */
   abstract renew(address: string, body: RenewLeases): EitherAsync<NettlespurError, TaskStatus[]>
   abstract getTask(address: string, taskId: string): EitherAsync<NettlespurError, TaskStatus>
-  /** The whole answer, checked for its length, task and fence. Repeatable. */
+  /** Reads the complete answer, after checking its length, task and fence. Can be repeated. */
   abstract getAnswer(task: TaskReference): EitherAsync<NettlespurError, Buffer>
 
-  /** As `getAnswer`, with its content type where the client learns of it. */
+  /** Like `getAnswer`, with the content type; undefined by default, for clients that do not know it. */
   getTypedAnswer(task: TaskReference): EitherAsync<NettlespurError, TypedAnswer> {
     return this.getAnswer(task).map((body) => ({ contentType: undefined, body }))
   }
