--- a/rpc/peer/src/peerConnection.ts
+++ b/rpc/peer/src/peerConnection.ts
@@ -1,6 +1,6 @@
 /**
- * One WebSocket to a peer, for many calls at a time. It is never opened again: tRPC's own reconnecting is
- * ended with the socket, so that no call leaves on another connection than the one it was made on.
+ * One WebSocket to a peer, which carries concurrent calls. It never reconnects: when the socket closes, the tRPC
+ * client is closed with it, so that tRPC cannot resend a call over another connection.
  */
 import { NettlespurError } from '@nettlespur/core.errors'
 import { createUnauthorizedError, formatBearerKey } from '@nettlespur/net.keys'
@@ -14,23 +14,23 @@
   /** `IP:PORT` of the peer. */
   address: string
   peerKey: string
-  /** Authority that signed the peer's certificate: set, it makes the connection use TLS. */
+  /** Certificate of the CA that signed the peer's certificate. The connection uses TLS if it is set. */
   ca?: Buffer | undefined
-  /** Without it a call takes a third less processor time, but at rest 30 times the bytes. Default: true. */
+  /** Uncompressed, a call takes a third less CPU time, but idle traffic is 30 times the bytes. Default: true. */
   compresses?: boolean | undefined
 }
 
 export class PeerConnection {
-  /** Settles once: rejects with `unreachable` or `unauthorized` where nothing can have left. */
+  /** Resolves when the socket is open; rejects with `unreachable` or `unauthorized` if it cannot be opened. */
   readonly opened: Promise<void>
   readonly client: TRPCWebSocketClient
   readonly #address: string
   #socket: WebSocket | undefined
   #closed = false
-  #messages = 0
-  #calls = 0
+  #messageCount = 0
+  #callCount = 0
   #callsInProgress = 0
-  #newestAnswered = 0
+  #highestAnsweredCall = 0
   #settle: { resolve: () => void; reject: (error: NettlespurError) => void } | undefined
 
   constructor(opts: PeerConnectionOptions) {
@@ -39,13 +39,13 @@
       this.#settle = { resolve, reject }
     })
     this.opened.catch(() => undefined)
-    const adopt = (socket: WebSocket): void => {
-      this.#adopt(socket)
+    const onSocket = (socket: WebSocket): void => {
+      this.#attachSocket(socket)
     }
     const scheme = opts.ca === undefined ? 'ws' : 'wss'
     this.client = createWSClient({
       url: `${scheme}://${opts.address}`,
-      WebSocket: createSocketClass(opts, adopt) as never,
+      WebSocket: createSocketClass(opts, onSocket) as never,
     })
   }
 
@@ -53,71 +53,73 @@
     return this.#closed
   }
 
-  /** Messages received so far: a connection on which none comes is silent. */
+  /** Number of messages received so far. A connection is silent while it does not increase. */
   get messageCount(): number {
-    return this.#messages
+    return this.#messageCount
   }
 
   get callsInProgress(): number {
     return this.#callsInProgress
   }
 
-  /** The highest number of a call that was answered. */
-  get newestAnswered(): number {
-    return this.#newestAnswered
+  /** The highest number of an answered call; 0 if none was answered. */
+  get highestAnsweredCall(): number {
+    return this.#highestAnsweredCall
   }
 
-  /** The number of the next call. */
+  /** Registers a call in progress and returns its number; numbers count up from 1. */
   startCall(): number {
     this.#callsInProgress += 1
-    this.#calls += 1
-    return this.#calls
+    this.#callCount += 1
+    return this.#callCount
   }
 
-  noteAnswer(number: number): void {
-    this.#newestAnswered = Math.max(this.#newestAnswered, number)
+  recordAnswer(callNumber: number): void {
+    this.#highestAnsweredCall = Math.max(this.#highestAnsweredCall, callNumber)
   }
 
   endCall(): void {
     this.#callsInProgress -= 1
   }
 
-  /** Cuts the connection; calls on it fail at once. */
+  /** Terminates the socket; calls in progress on it fail at once. */
   destroy(): void {
-    this.#end('the connection was closed')
+    this.#markClosed('the connection was closed on this side')
     this.#socket?.terminate()
   }
 
-  #adopt(socket: WebSocket): void {
+  #attachSocket(socket: WebSocket): void {
     this.#socket = socket
     socket.on('open', () => this.#settle?.resolve())
     socket.on('message', () => {
-      this.#messages += 1
+      this.#messageCount += 1
     })
     socket.on('unexpected-response', (request, response) => {
       if (response.statusCode === unauthorizedStatus)
         this.#settle?.reject(createUnauthorizedError())
-      this.#end(`it answered ${response.statusCode ?? 0}`)
+      this.#markClosed(
+        `the peer answered the WebSocket upgrade with HTTP status ${response.statusCode ?? 0}`,
+      )
       request.destroy()
       socket.terminate()
     })
     socket.on('error', (cause) => {
-      this.#end(cause.message)
+      this.#markClosed(cause.message)
     })
     socket.on('close', () => {
-      this.#end('the peer closed the connection')
+      this.#markClosed('the peer closed the connection')
     })
   }
 
-  #end(reason: string): void {
+  #markClosed(reason: string): void {
     this.#closed = true
     this.#settle?.reject(new NettlespurError('unreachable', `${this.#address}: ${reason}`))
     void this.client.close()
   }
 }
 
-/** A WebSocket class whose one instance is handed over as soon as it is made. */
-function createSocketClass(opts: PeerConnectionOptions, adopt: (socket: WebSocket) => void) {
+/** Returns a WebSocket class for the tRPC client that passes the socket to `onSocket` on construction. */
+function createSocketClass(opts: PeerConnectionOptions, onSocket: (socket: WebSocket) => void) {
   return class extends WebSocket {
     constructor(url: string) {
       super(url, {
@@ -126,7 +128,7 @@
         maxPayload: messageBytesMax,
         ...(opts.ca === undefined ? {} : { ca: opts.ca }),
       })
-      adopt(this)
+      onSocket(this)
     }
   }
 }
--- a/upstream/client/src/connectionPools.ts
+++ b/upstream/client/src/connectionPools.ts
@@ -1,7 +1,10 @@
-/** One connection pool for each upstream address, made on first use and dropped when many stand unused. */
+/**
+ * Holds one connection pool per upstream address, created on first use. Unused pools are removed when a pool is to be
+ * created and `poolCountBeforePruning` exist.
+ */
 import { ConnectionPool, type ConnectionPoolOptions } from './connectionPool.js'
 
-const poolsKept = 256
+const poolCountBeforePruning = 256
 
 export class ConnectionPools {
   readonly #opts: ConnectionPoolOptions
@@ -14,13 +17,13 @@
   get(address: string): ConnectionPool {
     const known = this.#byAddress.get(address)
     if (known !== undefined) return known
-    if (this.#byAddress.size >= poolsKept) this.#dropUnused()
+    if (this.#byAddress.size >= poolCountBeforePruning) this.#removeUnused()
     const pool = new ConnectionPool(this.#opts)
     this.#byAddress.set(address, pool)
     return pool
   }
 
-  /** Retires `pool`; a later pool of the same address stays. */
+  /** Retires `pool`. If a newer pool has replaced it for `address`, the newer one stays. */
   retire(address: string, pool: ConnectionPool): void {
     if (this.#byAddress.get(address) === pool) this.#byAddress.delete(address)
     pool.retire()
@@ -31,7 +34,7 @@
     this.#byAddress.clear()
   }
 
-  #dropUnused(): void {
+  #removeUnused(): void {
     for (const [address, pool] of this.#byAddress) {
       if (pool.isUnused) this.#byAddress.delete(address)
     }
--- a/upstream/client/src/httpUpstreamClient.ts
+++ b/upstream/client/src/httpUpstreamClient.ts
@@ -1,6 +1,6 @@
 /**
- * Calls upstreams over HTTP, with kept connections and a deadline on each call. When a call to an address
- * ends in silence, that address's connections are distrusted and the next call opens a new one.
+ * Calls upstreams over HTTP, with keep-alive connections and a deadline on each call. When a call times out, the
+ * pool of its address is retired, since its connections may be dead, and the next call opens a new connection.
  */
 import { setMaxListeners } from 'node:events'
 import {
@@ -28,14 +28,14 @@
   clock: Clock
   /** Deadline of each call, in milliseconds. */
   timeoutMs?: number
-  /** Open connections to one upstream at a time. */
+  /** Maximum number of connections open to one upstream at a time. */
   connectionsPerUpstream?: number
-  /** An idle connection is closed after this long, in milliseconds. */
+  /** An idle connection is closed after this time, in milliseconds. */
   idleMsMax?: number
   answerBytesMax?: number
-  /** Sent to upstreams as a bearer key. */
+  /** Bearer key sent to upstreams. */
   key?: string | undefined
-  /** Authority that signed the upstreams' certificates: set, it makes calls use TLS. */
+  /** Certificate of the CA that signed the upstreams' certificates. Calls use TLS if it is set. */
   ca?: Buffer | undefined
 }
 
@@ -60,7 +60,7 @@
     taskId: string,
     body: ReserveTask,
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#askStatus(address, 'PUT', taskPath(taskId), body)
+    return this.#requestStatus(address, 'PUT', taskPath(taskId), body)
   }
 
   override start(task: TaskReference): EitherAsync<NettlespurError, TaskStatus> {
@@ -86,12 +86,12 @@
   }
 
   override renew(address: string, body: RenewLeases): EitherAsync<NettlespurError, TaskStatus[]> {
-    const call = this.#prepare(address, 'POST', '/v1/leases')
+    const call = this.#createCallOptions(address, 'POST', '/v1/leases')
     return callJson({ ...call, json: body, answer: leasesAnswerSchema }).map(({ tasks }) => tasks)
   }
 
   override getTask(address: string, taskId: string): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#askStatus(address, 'GET', taskPath(taskId))
+    return this.#requestStatus(address, 'GET', taskPath(taskId))
   }
 
   override getAnswer(task: TaskReference): EitherAsync<NettlespurError, Buffer> {
@@ -99,7 +99,7 @@
   }
 
   override getTypedAnswer(task: TaskReference): EitherAsync<NettlespurError, TypedAnswer> {
-    const call = this.#prepare(task.address, 'GET', `${taskPath(task.taskId)}/answer`)
+    const call = this.#createCallOptions(task.address, 'GET', `${taskPath(task.taskId)}/answer`)
     const answerBytesMax = this.#opts.answerBytesMax ?? defaultAnswerBytesMax
     return callHttp({ ...call, answerBytesMax }).chain((answer) => {
       const contentType = answer.headers['content-type']
@@ -108,7 +108,7 @@
     })
   }
 
-  /** Gives up the calls in progress and closes every connection. */
+  /** Aborts the calls in progress and closes the connections. */
   close(): void {
     this.#closing.abort()
     this.#pools.destroyAll()
@@ -119,19 +119,23 @@
     verb: string,
     json: unknown,
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return this.#askStatus(task.address, 'POST', `${taskPath(task.taskId)}/${verb}`, json)
+    return this.#requestStatus(task.address, 'POST', `${taskPath(task.taskId)}/${verb}`, json)
   }
 
-  #askStatus(
+  #requestStatus(
     address: string,
     method: string,
     path: string,
     json?: unknown,
   ): EitherAsync<NettlespurError, TaskStatus> {
-    return callJson({ ...this.#prepare(address, method, path), json, answer: taskStatusSchema })
+    return callJson({
+      ...this.#createCallOptions(address, method, path),
+      json,
+      answer: taskStatusSchema,
+    })
   }
 
-  #prepare(address: string, method: string, path: string): CallHttpOptions {
+  #createCallOptions(address: string, method: string, path: string): CallHttpOptions {
     const { clock, key, ca } = this.#opts
     const pool = this.#pools.get(address)
     return {
