--- a/entry/requests/src/httpTaskTransport.ts
+++ b/entry/requests/src/httpTaskTransport.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '@nettlespur/core.clock'
 import type { NettlespurError } from '@nettlespur/core.errors'
 import { taskHeaders, type TaskState } from '@nettlespur/api.schemas'
-import { openHttp, type OpenedAnswer } from '@nettlespur/net.client'
+import { openHttp, type StreamedAnswer } from '@nettlespur/net.client'
 import { formatBearerKey } from '@nettlespur/net.keys'
 import type { Either } from 'purify-ts'
 import { expectAttempt, readAnswer } from './readAnswer.js'
@@ -36,7 +36,7 @@
 /** Ended without an answer. */
 const endedStates: ReadonlySet<TaskState> = new Set(['failed', 'stopped', 'lease-expired'])
 
-type Opened = Either<NettlespurError, OpenedAnswer>
+type Opened = Either<NettlespurError, StreamedAnswer>
 
 export class HttpTaskTransport extends TaskTransport {
   readonly #opts: HttpTaskTransportOptions
--- a/entry/requests/src/readAnswer.ts
+++ b/entry/requests/src/readAnswer.ts
@@ -5,7 +5,7 @@
  */
 import { taskHeaders } from '@nettlespur/api.schemas'
 import { toNettlespurError, type ErrorKind } from '@nettlespur/core.errors'
-import { toAnswerError, type OpenedAnswer } from '@nettlespur/net.client'
+import { toAnswerError, type StreamedAnswer } from '@nettlespur/net.client'
 import { createLostOutcome } from './lostOutcome.js'
 import type { TaskOutcome, TaskRun } from './taskTransport.js'
 
@@ -50,7 +50,7 @@
 }
 
 export async function readAnswer(
-  opened: OpenedAnswer,
+  opened: StreamedAnswer,
   opts: ReadAnswerOptions,
 ): Promise<TaskOutcome> {
   const { status, headers, stream } = opened
@@ -70,7 +70,7 @@
   return { kind: 'answered', answer: { status, contentType, body, lengthBytes } }
 }
 
-async function readError(opened: OpenedAnswer, fault: string): Promise<TaskOutcome> {
+async function readError(opened: StreamedAnswer, fault: string): Promise<TaskOutcome> {
   const { status, headers } = opened
   const body = await collect(opened, errorBytesMax)
   if (body instanceof Error) return createLostOutcome(body.message, body)
@@ -79,7 +79,7 @@
 }
 
 /** Why the answer is not the whole one of this attempt; undefined where it may be. */
-function findFault(opened: OpenedAnswer, opts: ReadAnswerOptions): string | undefined {
+function findFault(opened: StreamedAnswer, opts: ReadAnswerOptions): string | undefined {
   const { headers } = opened
   const wrong = opts.expected.find(({ name, value }) => headers[name] !== value)
   if (wrong !== undefined) return `the answer is of another ${wrong.what}`
@@ -92,7 +92,7 @@
 }
 
 /** The whole body, or why it is not whole. */
-async function collect(opened: OpenedAnswer, bytesMax: number): Promise<Buffer | Error> {
+async function collect(opened: StreamedAnswer, bytesMax: number): Promise<Buffer | Error> {
   const chunks: Buffer[] = []
   let size = 0
   try {
--- a/net/client/src/callHttp.ts
+++ b/net/client/src/callHttp.ts
@@ -2,7 +2,7 @@
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http'
 import { errorBodySchema, fromErrorBody, NettlespurError, tryAsync } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
-import { createLostAnswerError, openHttp, type OpenHttpOptions } from './openHttp.js'
+import { createOutcomeUnknownError, openHttp, type OpenHttpOptions } from './openHttp.js'
 
 const defaultAnswerBytesMax = 16_777_216
 
@@ -19,8 +19,8 @@
 /** The whole answer, whatever its status. Errors: `unreachable`, `outcome-unknown`. */
 export function callHttp(opts: CallHttpOptions): EitherAsync<NettlespurError, HttpAnswer> {
   return openHttp(opts).chain(({ status, headers, stream }) =>
-    tryAsync(() => collect(stream, opts.answerBytesMax ?? defaultAnswerBytesMax))
-      .mapLeft((error) => createLostAnswerError(opts, error))
+    tryAsync(() => readBody(stream, opts.answerBytesMax ?? defaultAnswerBytesMax))
+      .mapLeft((error) => createOutcomeUnknownError(opts, error))
       .map((body) => ({ status, headers, body })),
   )
 }
@@ -36,7 +36,7 @@
   return new NettlespurError('outcome-unknown', `the other side answered ${answer.status}`)
 }
 
-async function collect(stream: IncomingMessage, answerBytesMax: number): Promise<Buffer> {
+async function readBody(stream: IncomingMessage, answerBytesMax: number): Promise<Buffer> {
   const chunks: Buffer[] = []
   let size = 0
   for await (const chunk of stream as AsyncIterable<Buffer>) {
--- a/net/client/src/index.ts
+++ b/net/client/src/index.ts
@@ -2,8 +2,8 @@
 export { callHttp, toAnswerError, type CallHttpOptions, type HttpAnswer } from './callHttp.js'
 export { callJson, type CallJsonOptions } from './callJson.js'
 export {
-  createLostAnswerError,
+  createOutcomeUnknownError,
   openHttp,
-  type OpenedAnswer,
+  type StreamedAnswer,
   type OpenHttpOptions,
 } from './openHttp.js'
--- a/net/client/src/openHttp.ts
+++ b/net/client/src/openHttp.ts
@@ -27,50 +27,50 @@
 }
 
 /** An answer whose body has still to be read, or destroyed. The body fails where it ends early. */
-export interface OpenedAnswer {
+export interface StreamedAnswer {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly stream: IncomingMessage
 }
 
 /** Resolves with the head of the answer. Errors: `unreachable`, `outcome-unknown`. */
-export function openHttp(opts: OpenHttpOptions): EitherAsync<NettlespurError, OpenedAnswer> {
-  return tryAsync(() => open(opts))
+export function openHttp(opts: OpenHttpOptions): EitherAsync<NettlespurError, StreamedAnswer> {
+  return tryAsync(() => sendRequest(opts))
 }
 
 /** The error of a call whose bytes may have left. */
-export function createLostAnswerError(opts: OpenHttpOptions, cause: Error): NettlespurError {
+export function createOutcomeUnknownError(opts: OpenHttpOptions, cause: Error): NettlespurError {
   return toCallError(opts, true, cause)
 }
 
-function open(opts: OpenHttpOptions): Promise<OpenedAnswer> {
+function sendRequest(opts: OpenHttpOptions): Promise<StreamedAnswer> {
   return new Promise((resolve, reject) => {
-    const progress = { mayHaveLeft: false }
+    const progress = { mayHaveBeenSent: false }
     const request = createRequest(opts)
-    let cut = (cause: Error): void => {
+    let destroyWith = (cause: Error): void => {
       request.destroy(cause)
     }
     const timer = setDeadline(opts.clock, opts.timeoutMs, () => {
       opts.onTimeout?.()
-      cut(new Error(`no whole answer within ${opts.timeoutMs} ms`))
+      destroyWith(new Error(`no whole answer within ${opts.timeoutMs} ms`))
     })
     const abort = (): void => {
-      cut(new Error('the call was given up'))
+      destroyWith(new Error('the call was given up'))
     }
-    const end = (): void => {
+    const releaseDeadline = (): void => {
       timer.cancel()
       opts.signal?.removeEventListener('abort', abort)
     }
-    noteDeparture(request, opts, progress)
+    trackSending(request, opts, progress)
     request.on('error', (cause) => {
-      end()
-      reject(toCallError(opts, progress.mayHaveLeft, cause))
+      releaseDeadline()
+      reject(toCallError(opts, progress.mayHaveBeenSent, cause))
     })
     request.on('response', (stream) => {
-      cut = (cause) => {
+      destroyWith = (cause) => {
         stream.destroy(cause)
       }
-      stream.once('close', end)
+      stream.once('close', releaseDeadline)
       resolve({ status: stream.statusCode ?? 0, headers: stream.headers, stream })
     })
     opts.signal?.addEventListener('abort', abort, { once: true })
@@ -79,19 +79,19 @@
   })
 }
 
-function noteDeparture(
+function trackSending(
   request: http.ClientRequest,
   opts: OpenHttpOptions,
-  progress: { mayHaveLeft: boolean },
+  progress: { mayHaveBeenSent: boolean },
 ): void {
   request.on('socket', (socket) => {
     if (!socket.connecting) {
-      progress.mayHaveLeft = true
+      progress.mayHaveBeenSent = true
       return
     }
     // Over TLS nothing of the call leaves before the other side's certificate is accepted.
     socket.once(opts.ca === undefined ? 'connect' : 'secureConnect', () => {
-      progress.mayHaveLeft = true
+      progress.mayHaveBeenSent = true
     })
   })
 }
@@ -111,8 +111,12 @@
   return opts.ca === undefined ? http.request(target) : https.request({ ...target, ca: opts.ca })
 }
 
-function toCallError(opts: OpenHttpOptions, mayHaveLeft: boolean, cause: Error): NettlespurError {
+function toCallError(
+  opts: OpenHttpOptions,
+  mayHaveBeenSent: boolean,
+  cause: Error,
+): NettlespurError {
   const call = `${opts.method} ${opts.address}${opts.path}`
-  const kind = mayHaveLeft ? 'outcome-unknown' : 'unreachable'
+  const kind = mayHaveBeenSent ? 'outcome-unknown' : 'unreachable'
   return new NettlespurError(kind, `${call}: ${cause.message}`, { cause })
 }
--- a/net/client/test/busyProcess.test.ts
+++ b/net/client/test/busyProcess.test.ts
@@ -19,7 +19,7 @@
   listening.listen(0, '127.0.0.1', () => parentPort.postMessage(listening.address().port))
 `
 
-function beBusy(durationMs: number): void {
+function blockEventLoop(durationMs: number): void {
   const untilMs = performance.now() + durationMs
   while (performance.now() < untilMs);
 }
@@ -38,7 +38,7 @@
     timeoutMs,
   }).run()
   await called
-  beBusy(timeoutMs + answerMs)
+  blockEventLoop(timeoutMs + answerMs)
   const answer = await call
   t.is(answer.map(({ body }) => body.toString()).orDefault('none'), 'answer')
 })
--- a/net/keys/src/readKeyFile.ts
+++ b/net/keys/src/readKeyFile.ts
@@ -3,7 +3,7 @@
 import { NettlespurError } from '@nettlespur/core.errors'
 import { Left, Right, type Either } from 'purify-ts'
 
-const shortestKey = 22
+const minKeyLength = 22
 
 /** The keys of a file, the first being the one to send. Errors: `invalid-settings`. */
 export function readKeyFile(file: string): Either<NettlespurError, readonly string[]> {
@@ -22,11 +22,11 @@
   if (keys.length === 0)
     return Left(new NettlespurError('invalid-settings', `${file}: holds no key`))
   const shortest = Math.min(...keys.map((key) => key.length))
-  if (shortest >= shortestKey) return Right(keys)
+  if (shortest >= minKeyLength) return Right(keys)
   return Left(
     new NettlespurError(
       'invalid-settings',
-      `${file}: a key is shorter than ${shortestKey} characters`,
+      `${file}: a key is shorter than ${minKeyLength} characters`,
       {
         hint: 'make one with: nettlespur key create',
       },
--- a/net/server/src/connectionWatch.ts
+++ b/net/server/src/connectionWatch.ts
@@ -26,7 +26,7 @@
   readonly onCut?: (connection: CutConnection) => void
 }
 
-interface Waiting {
+interface PendingRequest {
   readonly call: string
   readonly sinceMs: number
 }
@@ -34,7 +34,7 @@
 class WatchedConnection {
   readonly #clock: Clock
   readonly #openedMs: number
-  readonly #waiting = new Map<ServerResponse, Waiting>()
+  readonly #pending = new Map<ServerResponse, PendingRequest>()
   #answered = 0
   #callerEnded = false
 
@@ -52,22 +52,22 @@
     socket.once('close', () => {
       const endedBy = this.#callerEnded ? 'caller' : 'us'
       watcher.onEnded?.(endedBy)
-      if (this.#waiting.size > 0) watcher.onCut?.(this.#describe(endedBy))
+      if (this.#pending.size > 0) watcher.onCut?.(this.#describe(endedBy))
     })
   }
 
-  take(raw: IncomingMessage, response: ServerResponse): void {
+  trackRequest(raw: IncomingMessage, response: ServerResponse): void {
     const call = `${raw.method ?? ''} ${raw.url ?? ''}`
-    this.#waiting.set(response, { call, sinceMs: this.#clock.monotonicMs() })
+    this.#pending.set(response, { call, sinceMs: this.#clock.monotonicMs() })
     response.once('finish', () => {
-      this.#waiting.delete(response)
+      this.#pending.delete(response)
       this.#answered += 1
     })
   }
 
   #describe(endedBy: CutConnection['endedBy']): CutConnection {
     const nowMs = this.#clock.monotonicMs()
-    const waiting = [...this.#waiting.values()]
+    const waiting = [...this.#pending.values()]
     const oldestMs = Math.min(...waiting.map(({ sinceMs }) => sinceMs))
     return {
       unanswered: waiting.map(({ call }) => call),
@@ -86,6 +86,6 @@
     connections.set(socket, new WatchedConnection(socket, watcher))
   })
   server.on('request', (raw: IncomingMessage, response: ServerResponse) => {
-    connections.get(raw.socket)?.take(raw, response)
+    connections.get(raw.socket)?.trackRequest(raw, response)
   })
 }
--- a/net/server/src/createHttpServer.ts
+++ b/net/server/src/createHttpServer.ts
@@ -26,7 +26,7 @@
  * Node's own limit ends a connection 6.0 s after its last answer (measured on Node 20), and a request on its
  * way at that moment is lost. An idle one costs one of some thousand descriptors.
  */
-const idleMs = 75_000
+const idleTimeoutMs = 75_000
 const millisecondsPerSecond = 1000
 
 export interface TlsFiles {
@@ -48,7 +48,7 @@
   /** Told of each failure of kind `internal`, whose cause callers do not see. */
   onInternalError?: (error: NettlespurError) => void
   /** Told of connections and of those that ended before their answers. */
-  connections?: ConnectionWatcher
+  connectionWatcher?: ConnectionWatcher
 }
 
 export interface HttpServer {
@@ -68,22 +68,22 @@
 
 /** Errors: rejects where the address cannot be bound. */
 export async function createHttpServer(opts: HttpServerOptions): Promise<HttpServer> {
-  const open = new Set<ServerResponse>()
+  const openResponses = new Set<ServerResponse>()
   let retired = false
   const server = createServer(opts, (request, response) => {
-    open.add(response)
+    openResponses.add(response)
     response.once('close', () => {
-      open.delete(response)
+      openResponses.delete(response)
     })
-    if (retired) endConnectionAfter(response)
-    void answer(opts, request, response)
+    if (retired) closeConnectionAfterResponse(response)
+    void handleRequest(opts, request, response)
   })
   const retire = (): void => {
     retired = true
-    open.forEach(endConnectionAfter)
+    openResponses.forEach(closeConnectionAfterResponse)
   }
   server.on('clientError', answerClientError)
-  if (opts.connections !== undefined) watchConnections(server, opts.connections)
+  if (opts.connectionWatcher !== undefined) watchConnections(server, opts.connectionWatcher)
   await listen(server, opts.address)
   const bound = server.address() as AddressInfo
   const host = bound.family === 'IPv6' ? `[${bound.address}]` : bound.address
@@ -91,11 +91,11 @@
     address: `${host}:${bound.port}`,
     port: bound.port,
     raw: server,
-    inFlight: () => open.size,
+    inFlight: () => openResponses.size,
     retire,
     drain: () => {
       retire()
-      return close(server)
+      return closeServer(server)
     },
     destroy: () => {
       server.closeAllConnections()
@@ -104,21 +104,21 @@
 }
 
 /** Without this, a connection kept alive would hold up a planned stop until it times out. */
-function endConnectionAfter(response: ServerResponse): void {
+function closeConnectionAfterResponse(response: ServerResponse): void {
   if (!response.headersSent) response.setHeader('connection', 'close')
 }
 
 function createServer(opts: HttpServerOptions, listener: http.RequestListener): http.Server {
   const limits = {
     maxHeaderSize: opts.headerBytesMax ?? defaultHeaderBytesMax,
-    headersTimeout: idleMs,
-    keepAliveTimeout: idleMs,
+    headersTimeout: idleTimeoutMs,
+    keepAliveTimeout: idleTimeoutMs,
   }
   if (opts.tls === undefined) return http.createServer(limits, listener)
   return https.createServer({ ...limits, ...opts.tls }, listener)
 }
 
-async function answer(
+async function handleRequest(
   opts: HttpServerOptions,
   raw: IncomingMessage,
   response: ServerResponse,
@@ -133,9 +133,9 @@
     opts.fallback(raw, response)
     return
   }
-  const gone = new AbortController()
+  const callerGone = new AbortController()
   response.once('close', () => {
-    if (!response.writableFinished) gone.abort()
+    if (!response.writableFinished) callerGone.abort()
   })
   const bodyBytesMax = opts.bodyBytesMax ?? defaultBodyBytesMax
   try {
@@ -146,7 +146,7 @@
       url,
       params: matched?.params ?? {},
       bodyBytesMax,
-      callerGone: gone.signal,
+      callerGone: callerGone.signal,
     })
     const reply = await unwrap(tryAsync(() => unwrap(handle(request))))
     await writeReply(response, reply)
@@ -222,7 +222,7 @@
   })
 }
 
-function close(server: http.Server): Promise<void> {
+function closeServer(server: http.Server): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => {
       resolve()
--- a/net/server/test/callerConnections.test.ts
+++ b/net/server/test/callerConnections.test.ts
@@ -14,9 +14,9 @@
 import { createHttpServer } from '../src/index.js'
 
 /** Entries are idle for this long before the states of all jobs are asked for, and callers with them. */
-const pauseMs = 15_000
+const callerPauseMs = 15_000
 
-async function startTrial(t: ExecutionContext) {
+async function startServer(t: ExecutionContext) {
   const paths: string[] = []
   const server = await createHttpServer({
     address: '127.0.0.1:0',
@@ -38,21 +38,21 @@
   return { server, open, paths }
 }
 
-async function ask(socket: Socket, path: string): Promise<string> {
+async function sendGet(socket: Socket, path: string): Promise<string> {
   const answered = once(socket, 'data')
   socket.write(`GET ${path} HTTP/1.1\r\nhost: a\r\n\r\n`)
   return String(await answered)
 }
 
 test('a connection is kept for longer than callers pause', async (t) => {
-  const { open } = await startTrial(t)
-  const answer = await ask(await open(), '/a')
+  const { open } = await startServer(t)
+  const answer = await sendGet(await open(), '/a')
   const [, seconds] = /^keep-alive: timeout=(\d+)\r$/im.exec(answer) ?? []
-  t.true(Number(seconds) * 1000 > pauseMs, answer)
+  t.true(Number(seconds) * 1000 > callerPauseMs, answer)
 })
 
 test('a connection on which nothing was asked yet gets no answer, also when it is given up', async (t) => {
-  const { server, open } = await startTrial(t)
+  const { server, open } = await startServer(t)
   server.raw.once('connection', (socket) => {
     const cause = Object.assign(new Error('timeout'), { code: 'ERR_HTTP_REQUEST_TIMEOUT' })
     server.raw.emit('clientError', cause, socket)
@@ -65,14 +65,14 @@
 })
 
 test('a path that cannot be read is refused, and the server goes on', async (t) => {
-  const { open } = await startTrial(t)
-  t.regex(await ask(await open(), 'http://a:99999/'), /^HTTP\/1.1 404 /)
-  t.regex(await ask(await open(), '/a'), /^HTTP\/1.1 200 /)
+  const { open } = await startServer(t)
+  t.regex(await sendGet(await open(), 'http://a:99999/'), /^HTTP\/1.1 404 /)
+  t.regex(await sendGet(await open(), '/a'), /^HTTP\/1.1 200 /)
 })
 
 test('a path that begins with two slashes names no host', async (t) => {
-  const { open, paths } = await startTrial(t)
-  t.regex(await ask(await open(), '//'), /^HTTP\/1.1 200 /)
-  t.regex(await ask(await open(), '//b/c'), /^HTTP\/1.1 200 /)
+  const { open, paths } = await startServer(t)
+  t.regex(await sendGet(await open(), '//'), /^HTTP\/1.1 200 /)
+  t.regex(await sendGet(await open(), '//b/c'), /^HTTP\/1.1 200 /)
   t.deepEqual(paths, ['//', '//b/c'])
 })
--- a/net/server/test/connectionWatch.test.ts
+++ b/net/server/test/connectionWatch.test.ts
@@ -9,7 +9,7 @@
 
 const get = (path: string): string => `GET ${path} HTTP/1.1\r\nhost: a\r\n\r\n`
 
-async function startTrial(t: ExecutionContext) {
+async function startServer(t: ExecutionContext) {
   const cut = new Subject<CutConnection>()
   const ended = new Subject<'caller' | 'us'>()
   const asked = new Subject<void>()
@@ -32,7 +32,7 @@
         },
       },
     ],
-    connections: {
+    connectionWatcher: {
       clock: new SystemClock(),
       onOpened: () => (count.opened += 1),
       onEnded: (endedBy) => {
@@ -57,7 +57,7 @@
 }
 
 test('a connection whose caller leaves before its answer is told with the call and the answers before', async (t) => {
-  const { cut, ended, asked, open, count } = await startTrial(t)
+  const { cut, ended, asked, open, count } = await startServer(t)
   const socket = await open()
   socket.write(get('/at-once'))
   await once(socket, 'data')
@@ -74,7 +74,7 @@
 })
 
 test('a connection that this side cuts before its answer is told as such', async (t) => {
-  const { server, cut, asked, open } = await startTrial(t)
+  const { server, cut, asked, open } = await startServer(t)
   const socket = await open()
   const reached = firstValueFrom(asked)
   socket.write(get('/held'))
@@ -85,7 +85,7 @@
 })
 
 test('a connection that ends with all its answers is counted and not told', async (t) => {
-  const { cut, ended, open } = await startTrial(t)
+  const { cut, ended, open } = await startServer(t)
   const cuts: CutConnection[] = []
   cut.subscribe((connection) => cuts.push(connection))
   const socket = await open()
