--- a/net/client/src/callHttp.ts
+++ b/net/client/src/callHttp.ts
@@ -1,4 +1,4 @@
-/** One HTTP call with a deadline and a bounded answer, collected whole. */
+/** Makes an HTTP call with a deadline and reads the whole answer into memory, up to a size limit. */
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http'
 import { errorBodySchema, fromErrorBody, NettlespurError, tryAsync } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
@@ -16,7 +16,7 @@
   readonly body: Buffer
 }
 
-/** The whole answer, whatever its status. Errors: `unreachable`, `outcome-unknown`. */
+/** Resolves with the whole answer, whatever its status. Errors: `unreachable`, `outcome-unknown`. */
 export function callHttp(opts: CallHttpOptions): EitherAsync<NettlespurError, HttpAnswer> {
   return openHttp(opts).chain(({ status, headers, stream }) =>
     tryAsync(() => readBody(stream, opts.answerBytesMax ?? defaultAnswerBytesMax))
@@ -25,13 +25,16 @@
   )
 }
 
-/** The error that a non-2xx answer of one of our own processes or of an upstream stands for. */
+/**
+ * Converts a non-2xx answer to an error: the one in its body if that is an error body of this project,
+ * otherwise `outcome-unknown` with the status.
+ */
 export function toAnswerError(answer: HttpAnswer): NettlespurError {
   try {
     const body = errorBodySchema.safeParse(JSON.parse(answer.body.toString('utf8')))
     if (body.success) return fromErrorBody(body.data)
   } catch {
-    // Not one of ours: told by its status below.
+    // Not JSON, so not an error body of this project: the status is reported below.
   }
   return new NettlespurError('outcome-unknown', `the other side answered ${answer.status}`)
 }
--- a/net/client/src/callJson.ts
+++ b/net/client/src/callJson.ts
@@ -1,4 +1,4 @@
-/** A call whose body and answer are JSON; an answer other than 2xx becomes the error it stands for. */
+/** Makes HTTP calls whose request and answer bodies are JSON, and converts non-2xx answers to errors. */
 import { parseValue } from '@nettlespur/api.schemas'
 import type { NettlespurError } from '@nettlespur/core.errors'
 import { parseJson } from '@nettlespur/net.server'
@@ -8,10 +8,14 @@
 
 export interface CallJsonOptions<T> extends Omit<CallHttpOptions, 'body'> {
   json?: unknown
+  /** Schema of a 2xx answer's body. */
   answer: z.ZodType<T>
 }
 
-/** Errors: those of `callHttp`, and whatever the other side answered. */
+/**
+ * Resolves with the parsed body of a 2xx answer. Errors: those of `callHttp`, the error that the server
+ * answered, and `outcome-unknown` if the body of a 2xx answer does not match the schema.
+ */
 export function callJson<T>(opts: CallJsonOptions<T>): EitherAsync<NettlespurError, T> {
   const { json, answer, ...call } = opts
   const body = json === undefined ? {} : { body: JSON.stringify(json) }
--- a/net/client/src/openHttp.ts
+++ b/net/client/src/openHttp.ts
@@ -1,6 +1,7 @@
 /**
- * One HTTP call with a deadline whose answer's body is read as it comes. A failure before any byte could
- * have left is `unreachable`; any later one is `outcome-unknown`, since the other side may have acted on it.
+ * Makes an HTTP call with a deadline and returns the answer's body as a stream. A failure before any byte of
+ * the request could have been sent is `unreachable`; any later one is `outcome-unknown`, since the server
+ * may have acted on the request.
  */
 import http, { type IncomingHttpHeaders, type IncomingMessage } from 'node:http'
 import https from 'node:https'
@@ -16,29 +17,32 @@
   path: string
   headers?: Readonly<Record<string, string>>
   body?: Buffer | string
-  /** Over the whole call with its answer's body, in milliseconds. */
+  /** Limit for the whole call, including reading the answer's body. */
   timeoutMs: number
   signal?: AbortSignal | undefined
   agent?: http.Agent | undefined
-  /** Authority that signed the other side's certificate: set, it makes the call use TLS. */
+  /** Certificate authority that signed the server's certificate. If set, the call uses TLS. */
   ca?: Buffer | undefined
-  /** Told when the call ends because its deadline passed in silence. */
+  /** Called when the deadline passes before the answer is complete, just before the call is aborted. */
   onTimeout?: (() => void) | undefined
 }
 
-/** An answer whose body has still to be read, or destroyed. The body fails where it ends early. */
+/**
+ * An answer whose body is not read yet. The caller must read or destroy the stream, which emits an error if
+ * the body ends early.
+ */
 export interface StreamedAnswer {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly stream: IncomingMessage
 }
 
-/** Resolves with the head of the answer. Errors: `unreachable`, `outcome-unknown`. */
+/** Resolves once the answer's status and headers are received. Errors: `unreachable`, `outcome-unknown`. */
 export function openHttp(opts: OpenHttpOptions): EitherAsync<NettlespurError, StreamedAnswer> {
   return tryAsync(() => sendRequest(opts))
 }
 
-/** The error of a call whose bytes may have left. */
+/** Creates the error of a failed call whose request may have been sent. */
 export function createOutcomeUnknownError(opts: OpenHttpOptions, cause: Error): NettlespurError {
   return toCallError(opts, true, cause)
 }
@@ -79,6 +83,7 @@
   })
 }
 
+/** Sets `progress.mayHaveBeenSent` once the connection can carry bytes of the request. */
 function trackSending(
   request: http.ClientRequest,
   opts: OpenHttpOptions,
@@ -89,7 +94,7 @@
       progress.mayHaveBeenSent = true
       return
     }
-    // Over TLS nothing of the call leaves before the other side's certificate is accepted.
+    // With TLS, no byte of the request is sent before the server's certificate is accepted.
     socket.once(opts.ca === undefined ? 'connect' : 'secureConnect', () => {
       progress.mayHaveBeenSent = true
     })
--- a/net/client/test/busyProcess.test.ts
+++ b/net/client/test/busyProcess.test.ts
@@ -1,4 +1,7 @@
-/** A call whose answer comes while this process is too busy to read it. */
+/**
+ * Guards against reporting a timeout for an answer that arrived in time, but was read late because the event
+ * loop of this process was blocked beyond the deadline.
+ */
 import { SystemClock } from '@nettlespur/core.clock'
 import test from 'ava'
 import { once } from 'node:events'
@@ -8,7 +11,7 @@
 const timeoutMs = 300
 const answerMs = 100
 
-/** A server in a thread of its own, so that it answers while this one is busy. */
+/** Runs in a worker thread, so that it answers while the event loop of this thread is blocked. */
 const server = `
   const http = require('node:http')
   const { parentPort } = require('node:worker_threads')
@@ -24,7 +27,7 @@
   while (performance.now() < untilMs);
 }
 
-test('an answer that came in time is taken although its deadline passed before it could be read', async (t) => {
+test('an answer that arrives in time is accepted even if the event loop is blocked until after the deadline', async (t) => {
   const worker = new Worker(server, { eval: true })
   t.teardown(() => worker.terminate())
   const [port] = (await once(worker, 'message')) as [number]
--- a/net/client/test/callHttp.test.ts
+++ b/net/client/test/callHttp.test.ts
@@ -23,7 +23,7 @@
   handle: () => EitherAsync.liftEither(Left(new NettlespurError('over-limit', 'too many'))),
 }
 
-test('a call gets the whole answer of its route', async (t) => {
+test('a JSON call resolves with the answer of the matching route', async (t) => {
   const server = await createHttpServer({ address: '127.0.0.1:0', routes: [echo] })
   const answer = await callJson({
     clock,
@@ -38,7 +38,7 @@
   await server.drain()
 })
 
-test('bad input of each kind gets its own answer and status', async (t) => {
+test('each kind of bad request gets its own error kind and status', async (t) => {
   const server = await createHttpServer({
     address: '127.0.0.1:0',
     routes: [echo, fails],
@@ -62,7 +62,7 @@
   await server.drain()
 })
 
-test('headers over the limit get 431 and the error body', async (t) => {
+test('a request with headers over the size limit is answered with 431', async (t) => {
   const server = await createHttpServer({
     address: '127.0.0.1:0',
     routes: [],
@@ -81,7 +81,7 @@
   await server.drain()
 })
 
-test('nobody listening is unreachable; a connection that closes after the call left is unknown', async (t) => {
+test('a refused connection is unreachable; one that closes after the request was sent is outcome-unknown', async (t) => {
   const closing = createServer((socket) => socket.once('data', () => socket.destroy()))
   await new Promise<void>((resolve) => closing.listen(0, '127.0.0.1', resolve))
   const { port } = closing.address() as { port: number }
--- a/net/keys/src/bearerKey.ts
+++ b/net/keys/src/bearerKey.ts
@@ -1,6 +1,7 @@
 /**
- * Bearer keys. A key is random text of at least 128 bits, so its plain SHA-256 is safe to store; digests
- * are compared in constant time, and a wrong key gets the same answer whatever is wrong with it.
+ * Creates, formats and checks bearer keys. A key is random text of at least 128 bits, so its unsalted SHA-256
+ * is safe to store. Digests are compared in constant time, and the answer to a rejected key does not reveal
+ * why it was rejected.
  */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -12,12 +13,12 @@
   return randomBytes(keyBytes).toString('base64url')
 }
 
-/** SHA-256 of a key, in lower-case hexadecimal digits. */
+/** Returns the SHA-256 of a key in lower-case hexadecimal digits. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex')
 }
 
-/** The key of an Authorization header; undefined where it has another form. */
+/** Returns the key of an Authorization header, or undefined if the header is absent or not `Bearer KEY`. */
 export function readBearerKey(authorization: string | undefined): string | undefined {
   return authorization?.startsWith(scheme) === true ? authorization.slice(scheme.length) : undefined
 }
@@ -26,7 +27,10 @@
   return scheme + key
 }
 
-/** Whether `key` is one of those whose hashes are given. All hashes are compared, matching or not. */
+/**
+ * Returns whether the hash of `key` is among `hashes`. Compares with every hash even after a match, so that
+ * the time taken does not reveal which one matched.
+ */
 export function matchesAnyHash(key: string | undefined, hashes: readonly string[]): boolean {
   const digest = Buffer.from(hashKey(key ?? ''), 'hex')
   let matched = false
@@ -37,7 +41,7 @@
   return key !== undefined && matched
 }
 
-/** The one answer to a missing or wrong key. */
+/** Creates the error for a missing or wrong key, the same in both cases. */
 export function createUnauthorizedError(): NettlespurError {
   return new NettlespurError('unauthorized', 'the key is missing or not accepted here', {
     hint: 'send "Authorization: Bearer KEY" with a key of this workspace or role',
--- a/net/keys/src/index.ts
+++ b/net/keys/src/index.ts
@@ -1,4 +1,4 @@
-/** Key files and constant-time comparison of bearer keys. */
+/** Bearer keys: creation, key files and comparison in constant time. */
 export {
   createKey,
   createUnauthorizedError,
--- a/net/keys/src/readKeyFile.ts
+++ b/net/keys/src/readKeyFile.ts
@@ -1,11 +1,12 @@
-/** Key files hold one key a line; blank lines and lines that start with "#" are passed over. */
+/** Reads key files: one key per line; blank lines and lines that start with "#" are ignored. */
 import { readFileSync } from 'node:fs'
 import { NettlespurError } from '@nettlespur/core.errors'
 import { Left, Right, type Either } from 'purify-ts'
 
+/** In characters; 22 characters of base64url hold 128 bits. */
 const minKeyLength = 22
 
-/** The keys of a file, the first being the one to send. Errors: `invalid-settings`. */
+/** Returns the keys of a file; a client sends the first one. Errors: `invalid-settings`. */
 export function readKeyFile(file: string): Either<NettlespurError, readonly string[]> {
   try {
     return checkKeys(file, readFileSync(file, 'utf8'))
--- a/net/keys/test/bearerKey.test.ts
+++ b/net/keys/test/bearerKey.test.ts
@@ -11,7 +11,7 @@
   t.false(matchesAnyHash(undefined, [hashKey('')]))
 })
 
-test('a bearer key is read back from its header and nothing else is', (t) => {
+test('a key is read from a Bearer header, and none from another or a missing header', (t) => {
   t.is(readBearerKey(formatBearerKey('abc')), 'abc')
   t.is(readBearerKey('Basic abc'), undefined)
   t.is(readBearerKey(undefined), undefined)
--- a/net/server/src/answerClientError.ts
+++ b/net/server/src/answerClientError.ts
@@ -1,11 +1,12 @@
-/** Answers what Node's parser refuses before a request exists. */
+/** Answers requests that Node's HTTP parser rejects, for which no request object exists. */
 import http from 'node:http'
 import { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 import { NettlespurError, toErrorBody } from '@nettlespur/core.errors'
 
 export function answerClientError(cause: NodeJS.ErrnoException, socket: Duplex): void {
-  // Without a byte from the other side there is no request, and a caller would take this for its answer.
+  // If no byte was received, there is no request to answer: the caller would take an error sent now for the
+  // answer to its first request.
   const isUnused = socket instanceof Socket && socket.bytesRead === 0
   if (!socket.writable || cause.code === 'ECONNRESET' || isUnused) {
     socket.destroy()
--- a/net/server/src/connectionWatch.ts
+++ b/net/server/src/connectionWatch.ts
@@ -1,28 +1,29 @@
-/** Counts the connections of a server, and tells of each that ended with a request on it unanswered. */
+/** Reports when connections of a server open and end, and which of them end with unanswered requests. */
 import type http from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import https from 'node:https'
 import type { Socket } from 'node:net'
 import type { Clock } from '@nettlespur/core.clock'
 
-/** A connection that ended before its answers. */
+/** A connection that ended before all of its requests were answered. */
 export interface CutConnection {
-  /** Method and path of each request that has no whole answer. */
+  /** Method and path of each request whose answer was not sent completely. */
   readonly unanswered: readonly string[]
-  /** Requests that were answered on it before. */
+  /** Number of requests that were answered on this connection. */
   readonly answered: number
   readonly openMs: number
-  /** Who ended it first; a reset is the other side's. */
+  /** The side that ended the connection first; an error such as a reset counts as the caller's. */
   readonly endedBy: 'caller' | 'us'
-  /** How long the oldest of them had waited. */
+  /** How long the oldest unanswered request had waited. */
   readonly waitedMs: number
 }
 
 export interface ConnectionWatcher {
   readonly clock: Clock
   readonly onOpened?: () => void
-  /** Told once for each connection, also for those that ended without anything on them. */
+  /** Called once for each connection that ends, including those that carried no request. */
   readonly onEnded?: (endedBy: CutConnection['endedBy']) => void
+  /** Called after `onEnded` if the connection had unanswered requests. */
   readonly onCut?: (connection: CutConnection) => void
 }
 
@@ -42,7 +43,7 @@
     this.#clock = watcher.clock
     this.#openedMs = this.#clock.monotonicMs()
     watcher.onOpened?.()
-    // Before the server's own listener, which ends this side at once.
+    // Must run before the server's own listener, which ends this side of the connection immediately.
     socket.prependOnceListener('end', () => {
       this.#callerEnded = !socket.writableEnded
     })
--- a/net/server/src/createHttpServer.ts
+++ b/net/server/src/createHttpServer.ts
@@ -1,7 +1,7 @@
 /**
- * Listens on one address and answers its routes. Every failure leaves as the error table says; a caller
- * that goes away aborts its request's signal; a planned stop closes idle connections at once and the
- * others after their answer.
+ * Serves routes over HTTP or HTTPS on one address. Every failure is answered with the status and body that the
+ * error table defines for its kind. If a caller disconnects, the signal of its request is aborted. A graceful
+ * shutdown closes idle connections immediately and the others after their answers.
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http'
 import https from 'node:https'
@@ -22,9 +22,10 @@
 const defaultBodyBytesMax = 1_048_576
 const defaultHeaderBytesMax = 16_384
 /**
- * How long a connection may be idle, before its first request too. Callers pause for 15 s between questions;
- * Node's own limit ends a connection 6.0 s after its last answer (measured on Node 20), and a request on its
- * way at that moment is lost. An idle one costs one of some thousand descriptors.
+ * How long a connection may be idle, both before its first request and between requests. It must exceed the
+ * 15 s that callers pause between requests: a request that is in transit when the server closes the connection
+ * is lost. With Node's default, Node 20 closes a connection 6.0 s after its last answer. An idle connection
+ * costs one file descriptor, of some thousand.
  */
 const idleTimeoutMs = 75_000
 const millisecondsPerSecond = 1000
@@ -35,38 +36,37 @@
 }
 
 export interface HttpServerOptions {
-  /** `IP:PORT`; port 0 takes a free one. */
+  /** `IP:PORT`; with port 0 the system picks a free port. */
   address: string
   routes: readonly Route[]
-  /** Handles every call that no route matches, like a route. */
+  /** Handles requests that no route matches, in the way of a route. Not used if `fallback` is set. */
   handleOther?: Route['handle']
-  /** Answers what no route matches; the path is unchanged. */
+  /** Answers requests that no route matches with Node's own objects; the path is unchanged. */
   fallback?: (request: IncomingMessage, response: ServerResponse) => void
   bodyBytesMax?: number
   headerBytesMax?: number
   tls?: TlsFiles | undefined
-  /** Told of each failure of kind `internal`, whose cause callers do not see. */
+  /** Called for each failure of kind `internal`, whose cause is not sent to callers. */
   onInternalError?: (error: NettlespurError) => void
-  /** Told of connections and of those that ended before their answers. */
   connectionWatcher?: ConnectionWatcher
 }
 
 export interface HttpServer {
-  /** `IP:PORT` as bound. */
+  /** `IP:PORT` that the server is bound to. */
   readonly address: string
   readonly port: number
   readonly raw: http.Server
-  /** Requests whose answer is not whole yet. */
+  /** Returns the number of requests whose answers are not complete yet. */
   inFlight(): number
-  /** From now on each answer ends its connection, so that callers go elsewhere for the next one. */
+  /** Makes each answer not begun yet close its connection, so that callers send their next requests elsewhere. */
   retire(): void
-  /** Stops accepting and resolves when every request in flight has its answer. */
+  /** Stops accepting connections and resolves when every request in flight is answered. */
   drain(): Promise<void>
-  /** Cuts every connection. */
+  /** Closes every connection immediately, without waiting for answers. */
   destroy(): void
 }
 
-/** Errors: rejects where the address cannot be bound. */
+/** Resolves once the server listens; rejects if the address cannot be bound. */
 export async function createHttpServer(opts: HttpServerOptions): Promise<HttpServer> {
   const openResponses = new Set<ServerResponse>()
   let retired = false
@@ -103,7 +103,7 @@
   }
 }
 
-/** Without this, a connection kept alive would hold up a planned stop until it times out. */
+/** Otherwise a kept-alive connection would delay a graceful shutdown until its idle timeout. */
 function closeConnectionAfterResponse(response: ServerResponse): void {
   if (!response.headersSent) response.setHeader('connection', 'close')
 }
@@ -157,7 +157,10 @@
   }
 }
 
-/** Undefined where it is none. A path that begins with two slashes names no host. */
+/**
+ * Returns undefined if the request's URL is not valid. The host is prepended to a path as text, since
+ * `new URL(path, base)` would take what follows two leading slashes for a host.
+ */
 function readUrl({ url = '/' }: IncomingMessage): URL | undefined {
   const text = url.startsWith('/') ? `http://localhost${url}` : url
   return URL.canParse(text) ? new URL(text) : undefined
@@ -199,7 +202,10 @@
   response.end(body)
 }
 
-/** Writes the answer the error table gives; a request whose body was not read loses its connection. */
+/**
+ * Answers with the status and body that the error table defines for the error. Closes the connection if the
+ * request's body was not read completely, or at once if an answer has already begun.
+ */
 export function writeError(response: ServerResponse, error: NettlespurError): void {
   if (response.headersSent) {
     response.destroy()
--- a/net/server/src/httpRequest.ts
+++ b/net/server/src/httpRequest.ts
@@ -1,4 +1,4 @@
-/** One request as a route sees it: parts already split, body read only when asked for, within the limit. */
+/** The request passed to a route: path and query are parsed, and the body is read on demand, up to a size limit. */
 import type { IncomingMessage } from 'node:http'
 import { parseValue } from '@nettlespur/api.schemas'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -10,14 +10,14 @@
   url: URL
   params: Readonly<Record<string, string>>
   bodyBytesMax: number
-  /** Aborted when the caller goes away before its answer is whole. */
+  /** Aborted if the caller disconnects before its answer is complete. */
   callerGone: AbortSignal
 }
 
 export class HttpRequest {
   readonly raw: IncomingMessage
   readonly params: Readonly<Record<string, string>>
-  /** As sent, without the query. */
+  /** Path of the URL without the query, still percent-encoded. */
   readonly path: string
   readonly query: URLSearchParams
   readonly callerGone: AbortSignal
@@ -32,23 +32,26 @@
     this.#bodyBytesMax = opts.bodyBytesMax
   }
 
-  /** One header's value; undefined where it is absent. */
+  /** Returns the value of a header given in lower case, or undefined if it is absent. */
   header(name: string): string | undefined {
     const value = this.raw.headers[name]
     return Array.isArray(value) ? value.join(', ') : value
   }
 
-  /** One part of the path; empty where the route has no such part. */
+  /** Returns the decoded value of a `:name` part of the path, or '' if the route has no such part. */
   param(name: string): string {
     return this.params[name] ?? ''
   }
 
-  /** The whole body. Errors: `body-too-large`, `malformed-json` for a body cut off by its caller. */
+  /** Reads the whole body. Errors: `body-too-large`, or `malformed-json` if the body ends early. */
   readBody(): EitherAsync<NettlespurError, Buffer> {
     return EitherAsync.fromPromise(() => this.#collect())
   }
 
-  /** The body as JSON checked by a schema. Errors: also `unknown-field` and `invalid-field`. */
+  /**
+   * Reads the body as JSON and validates it. Errors: those of `readBody`, `malformed-json`, `unknown-field`,
+   * `invalid-field`.
+   */
   readJson<T>(schema: z.ZodType<T>): EitherAsync<NettlespurError, T> {
     return this.readBody()
       .chain((body) => EitherAsync.liftEither(parseJson(body)))
--- a/net/server/src/index.ts
+++ b/net/server/src/index.ts
@@ -1,4 +1,4 @@
-/** An HTTP server with routes, limits, keys and answers from the error table. */
+/** An HTTP server with routes, size limits, TLS and error answers defined by the error table. */
 export type { ConnectionWatcher, CutConnection } from './connectionWatch.js'
 export {
   createHttpServer,
--- a/net/server/src/route.ts
+++ b/net/server/src/route.ts
@@ -1,4 +1,4 @@
-/** A route: a method, a path with `:name` parts, and what answers it. */
+/** Routes, each a method, a path with `:name` parts and a handler, and how requests are matched to them. */
 import type { Readable } from 'node:stream'
 import type { NettlespurError } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
@@ -6,7 +6,7 @@
 
 export type HttpMethod = 'GET' | 'POST' | 'PUT' | 'DELETE'
 
-/** An answer: a JSON value, or bytes, or a stream of them. */
+/** An answer with one kind of body: a JSON value, bytes, or a stream of bytes. */
 export interface HttpReply {
   readonly status: number
   readonly headers?: Readonly<Record<string, string>>
@@ -26,7 +26,7 @@
   readonly params: Readonly<Record<string, string>>
 }
 
-/** The route for a method and path; undefined where there is none. */
+/** Returns the first route that matches, or undefined if none does. */
 export function matchRoute(
   routes: readonly Route[],
   method: string,
--- a/net/server/test/callerConnections.test.ts
+++ b/net/server/test/callerConnections.test.ts
@@ -1,11 +1,9 @@
 /**
- * What users saw: a job's state that could not be had in time, with nothing in any log. A caller keeps its
- * connection and asks for a job's state seconds later; the server had closed the connection meanwhile, or
- * answered it before it asked, or had ended whole over the path of somebody else.
- *
- * Evidence: on a connection kept idle the server's end came 6.0 s after the answer (Node's 5 s and a second);
- * on one on which nothing had been sent yet a 400 came after 30 s; `GET //` ended in a rejection that nobody
- * handles, which ends the process.
+ * Guards against requests that fail on a kept-alive connection without a log line, such as a request for a
+ * job's state that is sent some seconds after the previous one. There were three causes:
+ * - With Node's default of 5 s and one second on top, the server closed an idle connection 6.0 s after an answer.
+ * - On a connection that had not sent anything, the server answered 400 after 30 s.
+ * - `GET //` caused an unhandled rejection, which ended the process and with it everyone's connections.
  */
 import { once } from 'node:events'
 import { connect, type Socket } from 'node:net'
@@ -13,7 +11,7 @@
 import test, { type ExecutionContext } from 'ava'
 import { createHttpServer } from '../src/index.js'
 
-/** Entries are idle for this long before the states of all jobs are asked for, and callers with them. */
+/** How long entries, and so their callers, pause before the states of all jobs are requested again. */
 const callerPauseMs = 15_000
 
 async function startServer(t: ExecutionContext) {
@@ -44,14 +42,14 @@
   return String(await answered)
 }
 
-test('a connection is kept for longer than callers pause', async (t) => {
+test('an idle connection is kept open for longer than callers pause between requests', async (t) => {
   const { open } = await startServer(t)
   const answer = await sendGet(await open(), '/a')
   const [, seconds] = /^keep-alive: timeout=(\d+)\r$/im.exec(answer) ?? []
   t.true(Number(seconds) * 1000 > callerPauseMs, answer)
 })
 
-test('a connection on which nothing was asked yet gets no answer, also when it is given up', async (t) => {
+test('a connection that times out before its first request is closed without an answer', async (t) => {
   const { server, open } = await startServer(t)
   server.raw.once('connection', (socket) => {
     const cause = Object.assign(new Error('timeout'), { code: 'ERR_HTTP_REQUEST_TIMEOUT' })
@@ -64,13 +62,13 @@
   t.is(Buffer.concat(received).toString(), '')
 })
 
-test('a path that cannot be read is refused, and the server goes on', async (t) => {
+test('a request with an invalid URL is answered with 404, and the server keeps serving', async (t) => {
   const { open } = await startServer(t)
   t.regex(await sendGet(await open(), 'http://a:99999/'), /^HTTP\/1.1 404 /)
   t.regex(await sendGet(await open(), '/a'), /^HTTP\/1.1 200 /)
 })
 
-test('a path that begins with two slashes names no host', async (t) => {
+test('a path that begins with two slashes is not taken for a host', async (t) => {
   const { open, paths } = await startServer(t)
   t.regex(await sendGet(await open(), '//'), /^HTTP\/1.1 200 /)
   t.regex(await sendGet(await open(), '//b/c'), /^HTTP\/1.1 200 /)
--- a/net/server/test/connectionWatch.test.ts
+++ b/net/server/test/connectionWatch.test.ts
@@ -1,4 +1,4 @@
-/** What a server tells of connections that end before their answers. */
+/** Tests what a connection watcher is told when connections end. */
 import { once } from 'node:events'
 import { connect, type Socket } from 'node:net'
 import { SystemClock } from '@nettlespur/core.clock'
@@ -56,7 +56,7 @@
   return { server, cut, ended, asked, count, open }
 }
 
-test('a connection whose caller leaves before its answer is told with the call and the answers before', async (t) => {
+test('a connection closed by the caller before its answer is reported with the request and the earlier answers', async (t) => {
   const { cut, ended, asked, open, count } = await startServer(t)
   const socket = await open()
   socket.write(get('/at-once'))
@@ -73,7 +73,7 @@
   t.is(count.opened, 1)
 })
 
-test('a connection that this side cuts before its answer is told as such', async (t) => {
+test('a connection closed by the server before its answer is reported as ended by the server', async (t) => {
   const { server, cut, asked, open } = await startServer(t)
   const socket = await open()
   const reached = firstValueFrom(asked)
@@ -84,7 +84,7 @@
   t.like(await told, { answered: 0, endedBy: 'us' })
 })
 
-test('a connection that ends with all its answers is counted and not told', async (t) => {
+test('a connection that ends with all requests answered is reported as ended, but not as cut', async (t) => {
   const { cut, ended, open } = await startServer(t)
   const cuts: CutConnection[] = []
   cut.subscribe((connection) => cuts.push(connection))
