--- a/net/client/src/callHttp.ts
+++ b/net/client/src/callHttp.ts
@@ -1,8 +1,8 @@
-/** One HTTP call with a deadline and a bounded answer, collected whole. */
+/** Makes an HTTP call with a deadline and reads the whole answer into memory, up to a size limit. */
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http'
 import { errorBodySchema, fromErrorBody, NettlespurError, tryAsync } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
-import { createLostAnswerError, openHttp, type OpenHttpOptions } from './openHttp.js'
+import { createOutcomeUnknownError, openHttp, type OpenHttpOptions } from './openHttp.js'
 
 const defaultAnswerBytesMax = 16_777_216
 
@@ -16,27 +16,30 @@
   readonly body: Buffer
 }
 
-/** The whole answer, whatever its status. Errors: `unreachable`, `outcome-unknown`. */
+/** Resolves with the whole answer, whatever its status. Errors: `unreachable`, `outcome-unknown`. */
 export function callHttp(opts: CallHttpOptions): EitherAsync<NettlespurError, HttpAnswer> {
   return openHttp(opts).chain(({ status, headers, stream }) =>
-    tryAsync(() => collect(stream, opts.answerBytesMax ?? defaultAnswerBytesMax))
-      .mapLeft((error) => createLostAnswerError(opts, error))
+    tryAsync(() => readBody(stream, opts.answerBytesMax ?? defaultAnswerBytesMax))
+      .mapLeft((error) => createOutcomeUnknownError(opts, error))
       .map((body) => ({ status, headers, body })),
   )
 }
 
-/** The error that a non-2xx answer of one of our own processes or of an upstream stands for. */
+/**
+ * Converts a non-2xx answer to an error: the one in its body if that is an error body of this project,
+ * otherwise `outcome-unknown` with the status.
+ */
 export function toAnswerError(answer: HttpAnswer): NettlespurError {
   try {
     const body = errorBodySchema.safeParse(JSON.parse(answer.body.toString('utf8')))
     if (body.success) return fromErrorBody(body.data)
   } catch {
-    // Not one of ours: told by its status below.
+    // Not JSON, so not an error body of this project: the status is reported below.
   }
   return new NettlespurError('outcome-unknown', `the other side answered ${answer.status}`)
 }
 
-async function collect(stream: IncomingMessage, answerBytesMax: number): Promise<Buffer> {
+async function readBody(stream: IncomingMessage, answerBytesMax: number): Promise<Buffer> {
   const chunks: Buffer[] = []
   let size = 0
   for await (const chunk of stream as AsyncIterable<Buffer>) {
--- a/net/client/src/openHttp.ts
+++ b/net/client/src/openHttp.ts
@@ -1,6 +1,7 @@
 /**
- * One HTTP call with a deadline whose answer's body is read as it comes. A failure before any byte could
- * have left is `unreachable`; any later one is `outcome-unknown`, since the other side may have acted on it.
+ * Makes an HTTP call with a deadline and returns the answer's body as a stream. A failure before any byte of
+ * the request could have been sent is `unreachable`; any later one is `outcome-unknown`, since the server
+ * may have acted on the request.
  */
 import http, { type IncomingHttpHeaders, type IncomingMessage } from 'node:http'
 import https from 'node:https'
@@ -16,61 +17,64 @@
   path: string
   headers?: Readonly<Record<string, string>>
   body?: Buffer | string
-  /** Over the whole call with its answer's body, in milliseconds. */
+  /** Limit for the whole call, including reading the answer's body. */
   timeoutMs: number
   signal?: AbortSignal | undefined
   agent?: http.Agent | undefined
-  /** Authority that signed the other side's certificate: set, it makes the call use TLS. */
+  /** Certificate authority that signed the server's certificate. If set, the call uses TLS. */
   ca?: Buffer | undefined
-  /** Told when the call ends because its deadline passed in silence. */
+  /** Called when the deadline passes before the answer is complete, just before the call is aborted. */
   onTimeout?: (() => void) | undefined
 }
 
-/** An answer whose body has still to be read, or destroyed. The body fails where it ends early. */
-export interface OpenedAnswer {
+/**
+ * An answer whose body is not read yet. The caller must read or destroy the stream, which emits an error if
+ * the body ends early.
+ */
+export interface StreamedAnswer {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly stream: IncomingMessage
 }
 
-/** Resolves with the head of the answer. Errors: `unreachable`, `outcome-unknown`. */
-export function openHttp(opts: OpenHttpOptions): EitherAsync<NettlespurError, OpenedAnswer> {
-  return tryAsync(() => open(opts))
+/** Resolves once the answer's status and headers are received. Errors: `unreachable`, `outcome-unknown`. */
+export function openHttp(opts: OpenHttpOptions): EitherAsync<NettlespurError, StreamedAnswer> {
+  return tryAsync(() => sendRequest(opts))
 }
 
-/** The error of a call whose bytes may have left. */
-export function createLostAnswerError(opts: OpenHttpOptions, cause: Error): NettlespurError {
+/** Creates the error of a failed call whose request may have been sent. */
+export function createOutcomeUnknownError(opts: OpenHttpOptions, cause: Error): NettlespurError {
   return toCallError(opts, true, cause)
 }
 
-function open(opts: OpenHttpOptions): Promise<OpenedAnswer> {
+function sendRequest(opts: OpenHttpOptions): Promise<StreamedAnswer> {
   return new Promise((resolve, reject) => {
-    const progress = { mayHaveLeft: false }
+    const progress = { mayHaveBeenSent: false }
     const request = createRequest(opts)
-    let cut = (cause: Error): void => {
+    let destroyWith = (cause: Error): void => {
       request.destroy(cause)
     }
     const timer = setDeadline(opts.clock, opts.timeoutMs, () => {
       opts.onTimeout?.()
-      cut(new Error(`no whole answer within ${opts.timeoutMs} ms`))
+      destroyWith(new Error(`no whole answer within ${opts.timeoutMs} ms`))
     })
     const abort = (): void => {
-      cut(new Error('the call was given up'))
+      destroyWith(new Error('the call was given up'))
     }
-    const end = (): void => {
+    const releaseDeadline = (): void => {
       timer.cancel()
       opts.signal?.removeEventListener('abort', abort)
     }
-    noteDeparture(request, opts, progress)
+    trackSending(request, opts, progress)
     request.on('error', (cause) => {
-      end()
-      reject(toCallError(opts, progress.mayHaveLeft, cause))
+      releaseDeadline()
+      reject(toCallError(opts, progress.mayHaveBeenSent, cause))
     })
     request.on('response', (stream) => {
-      cut = (cause) => {
+      destroyWith = (cause) => {
         stream.destroy(cause)
       }
-      stream.once('close', end)
+      stream.once('close', releaseDeadline)
       resolve({ status: stream.statusCode ?? 0, headers: stream.headers, stream })
     })
     opts.signal?.addEventListener('abort', abort, { once: true })
@@ -79,19 +83,20 @@
   })
 }
 
-function noteDeparture(
+/** Sets `progress.mayHaveBeenSent` once the connection can carry bytes of the request. */
+function trackSending(
   request: http.ClientRequest,
   opts: OpenHttpOptions,
-  progress: { mayHaveLeft: boolean },
+  progress: { mayHaveBeenSent: boolean },
 ): void {
   request.on('socket', (socket) => {
     if (!socket.connecting) {
-      progress.mayHaveLeft = true
+      progress.mayHaveBeenSent = true
       return
     }
-    // Over TLS nothing of the call leaves before the other side's certificate is accepted.
+    // With TLS, no byte of the request is sent before the server's certificate is accepted.
     socket.once(opts.ca === undefined ? 'connect' : 'secureConnect', () => {
-      progress.mayHaveLeft = true
+      progress.mayHaveBeenSent = true
     })
   })
 }
@@ -111,8 +116,12 @@
   return opts.ca === undefined ? http.request(target) : https.request({ ...target, ca: opts.ca })
 }
 
-function toCallError(opts: OpenHttpOptions, mayHaveLeft: boolean, cause: Error): NettlespurError {
+function toCallError(
+  opts: OpenHttpOptions,
+  mayHaveBeenSent: boolean,
+  cause: Error,
+): NettlespurError {
   const call = `${opts.method} ${opts.address}${opts.path}`
-  const kind = mayHaveLeft ? 'outcome-unknown' : 'unreachable'
+  const kind = mayHaveBeenSent ? 'outcome-unknown' : 'unreachable'
   return new NettlespurError(kind, `${call}: ${cause.message}`, { cause })
 }
--- a/net/server/src/createHttpServer.ts
+++ b/net/server/src/createHttpServer.ts
@@ -1,7 +1,7 @@
 /**
- * Listens on one address and answers its routes. Every failure leaves as the error table says; a caller
- * that goes away aborts its request's signal; a planned stop closes idle connections at once and the
- * others after their answer.
+ * Serves routes over HTTP or HTTPS on one address. Every failure is answered with the status and body that the
+ * error table defines for its kind. If a caller disconnects, the signal of its request is aborted. A graceful
+ * shutdown closes idle connections immediately and the others after their answers.
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http'
 import https from 'node:https'
@@ -22,11 +22,12 @@
 const defaultBodyBytesMax = 1_048_576
 const defaultHeaderBytesMax = 16_384
 /**
- * How long a connection may be idle, before its first request too. Callers pause for 15 s between questions;
- * Node's own limit ends a connection 6.0 s after its last answer (measured on Node 20), and a request on its
- * way at that moment is lost. An idle one costs one of some thousand descriptors.
+ * How long a connection may be idle, both before its first request and between requests. It must exceed the
+ * 15 s that callers pause between requests: a request that is in transit when the server closes the connection
+ * is lost. With Node's default, Node 20 closes a connection 6.0 s after its last answer. An idle connection
+ * costs one file descriptor, of some thousand.
  */
-const idleMs = 75_000
+const idleTimeoutMs = 75_000
 const millisecondsPerSecond = 1000
 
 export interface TlsFiles {
@@ -35,55 +36,54 @@
 }
 
 export interface HttpServerOptions {
-  /** `IP:PORT`; port 0 takes a free one. */
+  /** `IP:PORT`; with port 0 the system picks a free port. */
   address: string
   routes: readonly Route[]
-  /** Handles every call that no route matches, like a route. */
+  /** Handles requests that no route matches, in the way of a route. Not used if `fallback` is set. */
   handleOther?: Route['handle']
-  /** Answers what no route matches; the path is unchanged. */
+  /** Answers requests that no route matches with Node's own objects; the path is unchanged. */
   fallback?: (request: IncomingMessage, response: ServerResponse) => void
   bodyBytesMax?: number
   headerBytesMax?: number
   tls?: TlsFiles | undefined
-  /** Told of each failure of kind `internal`, whose cause callers do not see. */
+  /** Called for each failure of kind `internal`, whose cause is not sent to callers. */
   onInternalError?: (error: NettlespurError) => void
-  /** Told of connections and of those that ended before their answers. */
-  connections?: ConnectionWatcher
+  connectionWatcher?: ConnectionWatcher
 }
 
 export interface HttpServer {
-  /** `IP:PORT` as bound. */
+  /** `IP:PORT` that the server is bound to. */
   readonly address: string
   readonly port: number
   readonly raw: http.Server
-  /** Requests whose answer is not whole yet. */
+  /** Returns the number of requests whose answers are not complete yet. */
   inFlight(): number
-  /** From now on each answer ends its connection, so that callers go elsewhere for the next one. */
+  /** Makes each answer not begun yet close its connection, so that callers send their next requests elsewhere. */
   retire(): void
-  /** Stops accepting and resolves when every request in flight has its answer. */
+  /** Stops accepting connections and resolves when every request in flight is answered. */
   drain(): Promise<void>
-  /** Cuts every connection. */
+  /** Closes every connection immediately, without waiting for answers. */
   destroy(): void
 }
 
-/** Errors: rejects where the address cannot be bound. */
+/** Resolves once the server listens; rejects if the address cannot be bound. */
 export async function createHttpServer(opts: HttpServerOptions): Promise<HttpServer> {
-  const open = new Set<ServerResponse>()
+  const openResponses = new Set<ServerResponse>()
   let retired = false
   const server = createServer(opts, (request, response) => {
-    open.add(response)
+    openResponses.add(response)
     response.once('close', () => {
-      open.delete(response)
+      openResponses.delete(response)
     })
-    if (retired) endConnectionAfter(response)
-    void answer(opts, request, response)
+    if (retired) closeConnectionAfterResponse(response)
+    void handleRequest(opts, request, response)
   })
   const retire = (): void => {
     retired = true
-    open.forEach(endConnectionAfter)
+    openResponses.forEach(closeConnectionAfterResponse)
   }
   server.on('clientError', answerClientError)
-  if (opts.connections !== undefined) watchConnections(server, opts.connections)
+  if (opts.connectionWatcher !== undefined) watchConnections(server, opts.connectionWatcher)
   await listen(server, opts.address)
   const bound = server.address() as AddressInfo
   const host = bound.family === 'IPv6' ? `[${bound.address}]` : bound.address
@@ -91,11 +91,11 @@
     address: `${host}:${bound.port}`,
     port: bound.port,
     raw: server,
-    inFlight: () => open.size,
+    inFlight: () => openResponses.size,
     retire,
     drain: () => {
       retire()
-      return close(server)
+      return closeServer(server)
     },
     destroy: () => {
       server.closeAllConnections()
@@ -103,22 +103,22 @@
   }
 }
 
-/** Without this, a connection kept alive would hold up a planned stop until it times out. */
-function endConnectionAfter(response: ServerResponse): void {
+/** Otherwise a kept-alive connection would delay a graceful shutdown until its idle timeout. */
+function closeConnectionAfterResponse(response: ServerResponse): void {
   if (!response.headersSent) response.setHeader('connection', 'close')
 }
 
 function createServer(opts: HttpServerOptions, listener: http.RequestListener): http.Server {
   const limits = {
     maxHeaderSize: opts.headerBytesMax ?? defaultHeaderBytesMax,
-    headersTimeout: idleMs,
-    keepAliveTimeout: idleMs,
+    headersTimeout: idleTimeoutMs,
+    keepAliveTimeout: idleTimeoutMs,
   }
   if (opts.tls === undefined) return http.createServer(limits, listener)
   return https.createServer({ ...limits, ...opts.tls }, listener)
 }
 
-async function answer(
+async function handleRequest(
   opts: HttpServerOptions,
   raw: IncomingMessage,
   response: ServerResponse,
@@ -133,9 +133,9 @@
     opts.fallback(raw, response)
     return
   }
-  const gone = new AbortController()
+  const callerGone = new AbortController()
   response.once('close', () => {
-    if (!response.writableFinished) gone.abort()
+    if (!response.writableFinished) callerGone.abort()
   })
   const bodyBytesMax = opts.bodyBytesMax ?? defaultBodyBytesMax
   try {
@@ -146,7 +146,7 @@
       url,
       params: matched?.params ?? {},
       bodyBytesMax,
-      callerGone: gone.signal,
+      callerGone: callerGone.signal,
     })
     const reply = await unwrap(tryAsync(() => unwrap(handle(request))))
     await writeReply(response, reply)
@@ -157,7 +157,10 @@
   }
 }
 
-/** Undefined where it is none. A path that begins with two slashes names no host. */
+/**
+ * Returns undefined if the request's URL is not valid. The host is prepended to a path as text, since
+ * `new URL(path, base)` would take what follows two leading slashes for a host.
+ */
 function readUrl({ url = '/' }: IncomingMessage): URL | undefined {
   const text = url.startsWith('/') ? `http://localhost${url}` : url
   return URL.canParse(text) ? new URL(text) : undefined
@@ -199,7 +202,10 @@
   response.end(body)
 }
 
-/** Writes the answer the error table gives; a request whose body was not read loses its connection. */
+/**
+ * Answers with the status and body that the error table defines for the error. Closes the connection if the
+ * request's body was not read completely, or at once if an answer has already begun.
+ */
 export function writeError(response: ServerResponse, error: NettlespurError): void {
   if (response.headersSent) {
     response.destroy()
@@ -222,7 +228,7 @@
   })
 }
 
-function close(server: http.Server): Promise<void> {
+function closeServer(server: http.Server): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => {
       resolve()
