--- a/batch/service/src/batchNode.ts
+++ b/batch/service/src/batchNode.ts
@@ -14,7 +14,7 @@
   type Member,
   type RaftLimits,
   type RaftTransport,
-  type Standing,
+  type LeadershipState,
 } from '@nettlespur/consensus.raft'
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -79,7 +79,7 @@
       this.#jobClock.noteApplied(command, this.#state, opts.clock.monotonicMs())
       this.#leader?.handleAppliedCommand(command)
     })
-    raft.standing.subscribe((standing) => {
+    raft.leadership.subscribe((standing) => {
       this.#handleStanding(standing)
     })
   }
@@ -133,7 +133,7 @@
     return this.#machine.state
   }
 
-  #handleStanding({ role, term }: Standing): void {
+  #handleStanding({ role, term }: LeadershipState): void {
     if (role === 'leader') void this.#startLeading(term)
     else this.#stopLeading()
   }
--- a/consensus/raft/__utils__/testCluster.ts
+++ b/consensus/raft/__utils__/testCluster.ts
@@ -106,7 +106,7 @@
       leaseReads: this.#opts.leaseReads ?? true,
       random: this.#random,
     })
-    raft.standing.subscribe(({ role, term }) => {
+    raft.leadership.subscribe(({ role, term }) => {
       if (role !== 'leader') return
       this.#noteLeader(term, memberId)
       void this.read(memberId)
--- a/consensus/raft/src/appendHandler.ts
+++ b/consensus/raft/src/appendHandler.ts
@@ -24,23 +24,26 @@
 ): Promise<AppendAnswer | NettlespurError> {
   if (!(await acceptLeader(replica, request))) return createAnswer(replica, false, 0)
   const unreadable = findUnreadable(request)
-  if (unreadable === undefined) return takeAccepted(replica, request)
+  if (unreadable === undefined) return appendFromLeader(replica, request)
   const { kind, message: reason } = unreadable
   const { logger } = replica.opts
   logger.error({ event: 'raft.entries-refused', leaderId: request.leaderId, kind, reason })
   return unreadable
 }
 
-async function takeAccepted<R>(replica: Replica<R>, request: AppendRequest): Promise<AppendAnswer> {
+async function appendFromLeader<R>(
+  replica: Replica<R>,
+  request: AppendRequest,
+): Promise<AppendAnswer> {
   const { prevIndex, prevTerm, entries } = request
   const ownTerm = replica.log.termAt(prevIndex)
   const behindSnapshot = prevIndex < replica.opts.store.snapshotMeta.index
   if (!behindSnapshot && ownTerm !== prevTerm) {
-    return createAnswer(replica, false, findCommonBound(replica, prevIndex, ownTerm))
+    return createAnswer(replica, false, findLastPossibleMatch(replica, prevIndex, ownTerm))
   }
   await takeEntries(replica, request)
   const matchIndex = prevIndex + entries.length
-  replica.commitTo(Math.min(request.commitIndex, matchIndex))
+  replica.advanceCommitIndex(Math.min(request.commitIndex, matchIndex))
   return createAnswer(replica, true, matchIndex)
 }
 
@@ -63,7 +66,7 @@
 ): Promise<boolean> {
   if (term < replica.term) return false
   if (term > replica.term) await replica.adoptTerm(term)
-  replica.hearLeader(leaderId)
+  replica.recordLeaderContact(leaderId)
   return true
 }
 
@@ -87,11 +90,11 @@
     await log.truncateFrom(firstIndex)
   }
   await log.append(fresh)
-  for (const entry of fresh) memberships.note(entry)
+  for (const entry of fresh) memberships.recordEntry(entry)
 }
 
 /** An index below which the logs may be equal: steps over the whole term that differs. */
-function findCommonBound<R>(
+function findLastPossibleMatch<R>(
   { log, commitIndex }: Replica<R>,
   prevIndex: number,
   ownTerm: number | undefined,
--- a/consensus/raft/src/applyLoop.ts
+++ b/consensus/raft/src/applyLoop.ts
@@ -29,9 +29,9 @@
     opts.machine.restore(index, data)
     this.#entriesSinceSnapshot = 0
     this.#bytesSinceSnapshot = 0
-    this.#proposals.skipTo(index)
+    this.#proposals.rejectUpTo(index)
     appliedIndex.next(index)
-    this.#replica.commitTo(index)
+    this.#replica.advanceCommitIndex(index)
   }
 
   /** One task, until `signal` is aborted. */
@@ -60,12 +60,12 @@
       if (entry.index !== appliedIndex.value + 1 || entry.index > commitIndex.value) break
       this.#apply(entry)
     }
-    this.#noteWaiting(entries.length > 0)
+    this.#logMissingEntries(entries.length > 0)
     // Reads wait for what is applied, not for the disk: with a save that hung, one of six was answered.
     if (this.#isSnapshotDue() && !this.#isSaving) void this.#tryToTakeSnapshot()
   }
 
-  #noteWaiting(isHeld: boolean): void {
+  #logMissingEntries(isHeld: boolean): void {
     const { opts, log, appliedIndex, commitIndex } = this.#replica
     if (!isHeld && !this.#isWaiting) {
       const [applied, committed] = [appliedIndex.value, commitIndex.value]
@@ -80,7 +80,7 @@
     if (content.type === 'command') {
       this.#proposals.applied(entry, opts.machine.apply(entry.index, content.command))
     } else {
-      this.#proposals.displaced(entry.index)
+      this.#proposals.rejectDisplaced(entry.index)
     }
     this.#entriesSinceSnapshot++
     this.#bytesSinceSnapshot += entry.payload.length
--- a/consensus/raft/src/confirmLeadership.ts
+++ b/consensus/raft/src/confirmLeadership.ts
@@ -8,7 +8,7 @@
 import { NettlespurError } from '@nettlespur/core.errors'
 import { startWith } from 'rxjs'
 import { createNoQuorum, type Leader } from './leader.js'
-import type { ReadStep } from './readWatch.js'
+import type { ReadStep } from './slowReadLogger.js'
 
 const clockDriftShare = 0.1
 
@@ -18,8 +18,9 @@
   const startMs = clock.monotonicMs()
   const { step, confirmed } = await confirm(leader)
   const tookMs = clock.monotonicMs() - startMs
-  if (!confirmed) leader.reads.note({ outcome: 'refused', step, tookMs })
-  else if (tookMs > opts.timings.heartbeatMs) leader.reads.note({ outcome: 'slow', step, tookMs })
+  if (!confirmed) leader.slowReadLogger.note({ outcome: 'refused', step, tookMs })
+  else if (tookMs > opts.timings.heartbeatMs)
+    leader.slowReadLogger.note({ outcome: 'slow', step, tookMs })
   if (!confirmed) throw refuse(leader)
 }
 
@@ -53,7 +54,7 @@
 function holdsLease<R>(leader: Leader<R>): boolean {
   const { clock, opts } = leader.replica
   if (opts.leaseReads === false) return false
-  if (leader.ended.aborted || !leader.mayHoldLease) return false
+  if (leader.ended.aborted || !leader.canHoldLease) return false
   const nowMs = clock.monotonicMs()
   const sentMs = leader.pickQuorum(nowMs, (progress) => progress.ackedSentMs)
   return nowMs - sentMs < opts.timings.electionTimeoutMs * (1 - clockDriftShare)
@@ -62,7 +63,7 @@
 /** A round of requests sent from now on, answered by a quorum. */
 async function askQuorum<R>(leader: Leader<R>): Promise<boolean> {
   const { clock, opts } = leader.replica
-  const sequence = leader.countRequest()
+  const sequence = leader.allocateSequence()
   const isAnswered = (): boolean =>
     leader.pickQuorum(Infinity, (progress) => progress.ackedSequence) > sequence
   leader.wakePeers()
--- a/consensus/raft/src/describeNode.ts
+++ b/consensus/raft/src/describeNode.ts
@@ -1,6 +1,6 @@
 /** How a member stands, for operators. */
 import type { Leader } from './leader.js'
-import { isSettledVoter, type Member } from './member.js'
+import { isVoterInBothSets, type Member } from './member.js'
 import type { Replica, RaftRole } from './replica.js'
 import { snapshotMembershipSchema } from './snapshotMembership.js'
 
@@ -28,7 +28,7 @@
   replica: Replica<R>,
   leader: Leader<R> | undefined,
 ): NodeDescription {
-  const { role, term, leaderId } = replica.standing.value
+  const { role, term, leaderId } = replica.leadership.value
   return {
     role,
     term,
@@ -42,19 +42,19 @@
 }
 
 function describeMember<R>(
-  { standing, membership, log, clock }: Replica<R>,
+  { leadership, membership, log, clock }: Replica<R>,
   leader: Leader<R> | undefined,
   member: Member,
 ): MemberDescription {
   const { memberId } = member
-  const votes = isSettledVoter(membership, memberId)
-  const leads = standing.value.leaderId === memberId
+  const votes = isVoterInBothSets(membership, memberId)
+  const leads = leadership.value.leaderId === memberId
   const progress = leader?.getProgress(memberId)
   return {
     ...member,
     role: leads ? 'leader' : votes ? 'voter' : 'learner',
     lagEntries: progress === undefined ? 0 : Math.max(0, log.lastIndex - progress.matchIndex),
-    silentMs: progress === undefined ? 0 : Math.round(clock.monotonicMs() - progress.heardMs),
+    silentMs: progress === undefined ? 0 : Math.round(clock.monotonicMs() - progress.lastAnswerMs),
   }
 }
 
--- a/consensus/raft/src/election.ts
+++ b/consensus/raft/src/election.ts
@@ -35,15 +35,15 @@
    * within one, and the others refuse to unseat that leader anyway.
    */
   #drawWaitMs(): number {
-    const { isFresh, opts } = this.#replica
+    const { canElectEarly, opts } = this.#replica
     const { heartbeatMs, electionTimeoutMs } = opts.timings
     const random = this.#replica.random()
-    if (isFresh) return heartbeatMs * (1 + random)
+    if (canElectEarly) return heartbeatMs * (1 + random)
     return electionTimeoutMs * (1 + random * spreadShare)
   }
 
   /** Stands at once, on the leader's own word. */
-  async standNow(term: number, signal: AbortSignal): Promise<void> {
+  async campaignNow(term: number, signal: AbortSignal): Promise<void> {
     if (term === this.#replica.term) await this.#tryToLead(true, signal)
   }
 
@@ -51,7 +51,7 @@
   async #tryToLead(transfer: boolean, signal: AbortSignal): Promise<void> {
     const replica = this.#replica
     replica.electionResetMs = replica.clock.monotonicMs()
-    if (!replica.mayLead || replica.role === 'leader') return
+    if (!replica.canBeElected || replica.role === 'leader') return
     try {
       await this.#campaign(transfer, signal)
     } catch (cause) {
@@ -82,7 +82,7 @@
       const request = { ...this.#describe(), term, preVote: true, transfer }
       if ((await pollVoters(replica, request, signal)) === undefined) return
     }
-    const stands = await replica.exclusive(() => this.#stand(term, startMs, transfer))
+    const stands = await replica.exclusive(() => this.#becomeCandidate(term, startMs, transfer))
     if (!stands) return
     const disks = await pollVoters(
       replica,
@@ -98,12 +98,12 @@
     })
   }
 
-  async #stand(term: number, startMs: number, transfer: boolean): Promise<boolean> {
+  async #becomeCandidate(term: number, startMs: number, transfer: boolean): Promise<boolean> {
     const replica = this.#replica
-    const overtaken = replica.term !== term - 1 || !replica.mayLead
+    const overtaken = replica.term !== term - 1 || !replica.canBeElected
     if (overtaken || (!transfer && replica.heardLeaderMs > startMs)) return false
     await replica.adoptTerm(term, replica.memberId)
-    replica.stand('candidate', undefined)
+    replica.setRole('candidate', undefined)
     return true
   }
 
--- a/consensus/raft/src/leader.ts
+++ b/consensus/raft/src/leader.ts
@@ -10,7 +10,7 @@
 import { PeerReplicator } from './peerReplicator.js'
 import type { Proposals } from './proposals.js'
 import { pickQuorumValue } from './quorum.js'
-import { ReadWatch } from './readWatch.js'
+import { SlowReadLogger } from './slowReadLogger.js'
 import type { Replica } from './replica.js'
 import { Wake } from '@nettlespur/core.clock'
 
@@ -24,11 +24,11 @@
   /** The first entry of this leadership: what is committed is known once this one is. */
   readonly firstIndex: number
   /** Set while another member is being made leader: nothing new is taken. */
-  transferring = false
+  isTransferring = false
   /** Gone for good once another member was told to stand. */
-  mayHoldLease = true
+  canHoldLease = true
   /** Told of reads whose confirmation was slow or refused. */
-  readonly reads: ReadWatch<R>
+  readonly slowReadLogger: SlowReadLogger<R>
   readonly #proposals: Proposals<R>
   readonly #peers = new Map<string, PeerReplicator<R>>()
   readonly #flushWake = new Wake()
@@ -38,7 +38,7 @@
 
   constructor(replica: Replica<R>, proposals: Proposals<R>, disks: ReadonlyMap<string, string>) {
     this.replica = replica
-    this.reads = new ReadWatch(this)
+    this.slowReadLogger = new SlowReadLogger(this)
     this.#proposals = proposals
     this.term = replica.term
     this.firstIndex = replica.log.lastIndex + 1
@@ -69,7 +69,7 @@
   push(payload: Buffer) {
     const { log, memberships } = this.replica
     const entry = log.push(this.term, payload)
-    memberships.note(entry)
+    memberships.recordEntry(entry)
     this.#matchPeersToMembers()
     this.#flushWake.notify()
     for (const peer of this.#peers.values()) peer.wake()
@@ -91,7 +91,7 @@
   }
 
   /** Whether the peer's answers count: they come from the disk the membership knows. */
-  counts(memberId: string): boolean {
+  hasMatchingDisk(memberId: string): boolean {
     const diskId = this.getProgress(memberId)?.diskId
     return diskId !== undefined && acceptsDisk(this.replica.membership, memberId, diskId)
   }
@@ -101,12 +101,14 @@
     return pickQuorumValue(this.replica.membership, (memberId) => {
       if (memberId === this.replica.memberId) return own
       const progress = this.getProgress(memberId)
-      return progress !== undefined && this.counts(memberId) ? valueOf(progress) : -Infinity
+      return progress !== undefined && this.hasMatchingDisk(memberId)
+        ? valueOf(progress)
+        : -Infinity
     })
   }
 
   /** Number of the next request; an answer to it proves that this leadership lasted until then. */
-  countRequest(): number {
+  allocateSequence(): number {
     this.#sequence++
     return this.#sequence
   }
@@ -144,7 +146,7 @@
       replica: this.replica,
       term: this.term,
       peerId,
-      countRequest: () => this.countRequest(),
+      allocateSequence: () => this.allocateSequence(),
       onAnswer: () => {
         this.#advanceCommit()
         this.answers.next()
@@ -159,7 +161,7 @@
     if (this.ended.aborted) return
     const { log } = this.replica
     const index = this.pickQuorum(log.writtenIndex, ({ matchIndex }) => matchIndex)
-    if (log.termAt(index) === this.term) this.replica.commitTo(index)
+    if (log.termAt(index) === this.term) this.replica.advanceCommitIndex(index)
   }
 
   async #flushAll(): Promise<void> {
@@ -179,7 +181,7 @@
     } catch (thrown) {
       // Entries that went to peers may still become committed.
       if (this.#peers.size === 0) {
-        this.#proposals.refuseAfter(log.writtenIndex, toNettlespurError(thrown))
+        this.#proposals.rejectAfter(log.writtenIndex, toNettlespurError(thrown))
       }
     }
     this.#advanceCommit()
@@ -193,8 +195,8 @@
     while (!isOver()) {
       await clock.sleep(heartbeatMs, this.ended)
       const nowMs = clock.monotonicMs()
-      const heardMs = this.pickQuorum(nowMs, (progress) => progress.heardMs)
-      const isSilent = nowMs - heardMs > electionTimeoutMs
+      const lastAnswerMs = this.pickQuorum(nowMs, (progress) => progress.lastAnswerMs)
+      const isSilent = nowMs - lastAnswerMs > electionTimeoutMs
       // A process that stood still looks at its timers before it reads the answers that came meanwhile.
       const isLost = isSilent && wasSilent
       wasSilent = isSilent
--- a/consensus/raft/src/member.ts
+++ b/consensus/raft/src/member.ts
@@ -47,6 +47,6 @@
  * Whether the member votes before and after any change that is under way. One that is about to become a
  * voter makes no loss good yet: until the change is done the former voters have to agree as well.
  */
-export function isSettledVoter({ voters, outgoing }: Membership, memberId: string): boolean {
+export function isVoterInBothSets({ voters, outgoing }: Membership, memberId: string): boolean {
   return voters.includes(memberId) && (outgoing ?? voters).includes(memberId)
 }
--- a/consensus/raft/src/membershipHistory.ts
+++ b/consensus/raft/src/membershipHistory.ts
@@ -3,13 +3,13 @@
 import { decodePayload, holdsMembership } from './entryPayload.js'
 import type { Membership } from './member.js'
 
-interface Recorded {
+interface MembershipRecord {
   readonly index: number
   readonly membership: Membership
 }
 
 export class MembershipHistory {
-  #records: Recorded[]
+  #records: MembershipRecord[]
 
   constructor(index: number, membership: Membership) {
     this.#records = [{ index, membership }]
@@ -30,7 +30,7 @@
   }
 
   /** Takes note of an entry of the log. */
-  note(entry: LogEntry): void {
+  recordEntry(entry: LogEntry): void {
     if (!holdsMembership(entry.payload)) return
     const content = decodePayload(entry.payload)
     if (content.type !== 'membership') return
@@ -52,13 +52,13 @@
     this.#records = [{ index, membership }]
   }
 
-  get #first(): Recorded {
+  get #first(): MembershipRecord {
     const [first] = this.#records
     if (first === undefined) throw new Error('there is no membership')
     return first
   }
 
-  get #last(): Recorded {
+  get #last(): MembershipRecord {
     return this.#records.at(-1) ?? this.#first
   }
 }
--- a/consensus/raft/src/membershipKeeper.ts
+++ b/consensus/raft/src/membershipManager.ts
@@ -12,7 +12,7 @@
 const readyLagEntries = 64
 const readySilenceTimeouts = 1
 
-export class MembershipKeeper<R> {
+export class MembershipManager<R> {
   readonly #leader: Leader<R>
 
   constructor(leader: Leader<R>) {
@@ -26,7 +26,7 @@
     const isOver = (): boolean => ended.aborted
     while (!isOver()) {
       await replica.clock.sleep(heartbeatMs, ended)
-      if (!isOver() && this.#isSettled()) this.#step()
+      if (!isOver() && this.#tryCompleteChange()) this.#startAutomaticChange()
     }
   }
 
@@ -63,19 +63,19 @@
   }
 
   async #change(next: Membership, reason: string): Promise<void> {
-    if (!this.#isSettled()) throw refuseChange('another change is under way', 500)
-    if (!this.#answersAsQuorum(next)) {
+    if (!this.#tryCompleteChange()) throw refuseChange('another change is under way', 500)
+    if (!this.#hasReadyQuorum(next)) {
       throw refuseChange('the voters left would be no quorum, as too few of them answer', 500)
     }
     this.#start(next, reason)
     const { replica, ended: signal } = this.#leader
     const timeoutMs = replica.opts.timings.electionTimeoutMs * 2
-    const isDone = (): boolean => this.#isSettled()
+    const isDone = (): boolean => this.#tryCompleteChange()
     const done = await waitFor(replica.clock, replica.commitIndex, isDone, { timeoutMs, signal })
     if (!done) throw new NettlespurError('outcome-unknown', 'the change is not committed yet')
   }
 
-  #isSettled(): boolean {
+  #tryCompleteChange(): boolean {
     const { memberships, commitIndex } = this.#leader.replica
     const committed =
       commitIndex.value >= Math.max(memberships.latestIndex, this.#leader.firstIndex)
@@ -109,7 +109,7 @@
     this.#leader.pushMembership({ members: left, voters }, 'the change of voters is done')
   }
 
-  #step(): void {
+  #startAutomaticChange(): void {
     const { replica } = this.#leader
     if (!replica.membership.voters.includes(replica.memberId)) {
       replica.becomeFollower(undefined)
@@ -121,13 +121,13 @@
       getFacts: (memberId) => this.#getFacts(memberId),
       replaceVoterAfterMs: replica.opts.timings.replaceVoterAfterMs,
     })
-    if (next !== undefined && this.#answersAsQuorum(next.membership)) {
+    if (next !== undefined && this.#hasReadyQuorum(next.membership)) {
       this.#start(next.membership, next.reason)
     }
   }
 
   /** A change that cannot be committed would block every later one. */
-  #answersAsQuorum(next: Membership): boolean {
+  #hasReadyQuorum(next: Membership): boolean {
     const { memberId: ownId } = this.#leader.replica
     return hasQuorum(next, (memberId) => memberId === ownId || this.#getFacts(memberId).ready)
   }
@@ -137,10 +137,11 @@
     const { commitIndex, clock, opts } = replica
     const progress = this.#leader.getProgress(memberId)
     if (progress === undefined) return { diskId: undefined, ready: false, silentMs: 0 }
-    const silentMs = clock.monotonicMs() - progress.heardMs
+    const silentMs = clock.monotonicMs() - progress.lastAnswerMs
     const caughtUp = progress.matchIndex + readyLagEntries >= commitIndex.value
     const answers = silentMs < opts.timings.electionTimeoutMs * readySilenceTimeouts
-    const ready = progress.matchIndex > 0 && caughtUp && answers && this.#leader.counts(memberId)
+    const ready =
+      progress.matchIndex > 0 && caughtUp && answers && this.#leader.hasMatchingDisk(memberId)
     return { diskId: progress.diskId, ready, silentMs }
   }
 }
--- a/consensus/raft/src/peerProgress.ts
+++ b/consensus/raft/src/peerProgress.ts
@@ -9,7 +9,7 @@
   /** The disk it last answered from. */
   diskId: string | undefined
   /** When its last answer came. */
-  heardMs: number
+  lastAnswerMs: number
   /** When the newest request that it answered was sent. */
   ackedSentMs = -Infinity
   /** The number of that request. */
@@ -17,19 +17,19 @@
 
   constructor(nextIndex: number, nowMs: number) {
     this.nextIndex = nextIndex
-    this.heardMs = nowMs
+    this.lastAnswerMs = nowMs
   }
 
   /** What an older disk held says nothing of a new one. */
-  hear(diskId: string, sent: { sequence: number; sentMs: number }, nowMs: number): void {
+  recordAnswer(diskId: string, sent: { sequence: number; sentMs: number }, nowMs: number): void {
     if (this.diskId !== undefined && this.diskId !== diskId) this.matchIndex = 0
     this.diskId = diskId
-    this.heardMs = nowMs
+    this.lastAnswerMs = nowMs
     this.ackedSentMs = Math.max(this.ackedSentMs, sent.sentMs)
     this.ackedSequence = Math.max(this.ackedSequence, sent.sequence)
   }
 
-  take({ accepted, matchIndex }: AppendAnswer): void {
+  applyAppendAnswer({ accepted, matchIndex }: AppendAnswer): void {
     if (accepted) {
       this.matchIndex = Math.max(this.matchIndex, matchIndex)
       this.nextIndex = matchIndex + 1
--- a/consensus/raft/src/peerReplicator.ts
+++ b/consensus/raft/src/peerReplicator.ts
@@ -15,7 +15,7 @@
   term: number
   peerId: string
   /** Numbers the requests of this leadership. */
-  countRequest: () => number
+  allocateSequence: () => number
   /** Called after each answer of this term. */
   onAnswer: () => void
 }
@@ -55,14 +55,14 @@
     const { heartbeatMs } = opts.timings
     const { signal } = this.#stopping
     while (!signal.aborted) {
-      await this.#keepGap()
+      await this.#waitForRequestGap()
       const answered = await this.#tryExchange()
       if (!answered) await clock.sleep(heartbeatMs * this.#pickRetryShare(), signal)
       else if (!this.#hasMore()) await this.#wake.wait(clock, heartbeatMs, signal)
     }
   }
 
-  async #keepGap(): Promise<void> {
+  async #waitForRequestGap(): Promise<void> {
     const { clock, opts } = this.#opts.replica
     const leftMs = this.#sentMs + (opts.timings.requestGapMs ?? 0) - clock.monotonicMs()
     if (leftMs > 0) await clock.sleep(leftMs, this.#stopping.signal)
@@ -102,8 +102,8 @@
     const sent = this.#startRequest()
     const { transport } = replica.opts
     const answer = await transport.appendEntries(this.#member, request)
-    if (!(await this.#hear(answer, sent))) return false
-    this.progress.take(answer)
+    if (!(await this.#recordAnswer(answer, sent))) return false
+    this.progress.applyAppendAnswer(answer)
     this.#opts.onAnswer()
     return true
   }
@@ -115,28 +115,28 @@
     const sent = this.#startRequest()
     const { transport } = replica.opts
     const answer = await transport.installSnapshot(this.#member, request)
-    if (!(await this.#hear(answer, sent))) return false
-    this.#snapshots.take(answer)
+    if (!(await this.#recordAnswer(answer, sent))) return false
+    this.#snapshots.recordAnswer(answer)
     if (answer.installed) this.progress.installed(request.snapshotIndex)
     this.#opts.onAnswer()
     return true
   }
 
   #startRequest(): Sent {
-    const { replica, countRequest } = this.#opts
+    const { replica, allocateSequence } = this.#opts
     this.#sentMs = replica.clock.monotonicMs()
-    return { sequence: countRequest(), sentMs: this.#sentMs }
+    return { sequence: allocateSequence(), sentMs: this.#sentMs }
   }
 
   /** False for an answer that is not of this leadership. */
-  async #hear(answer: { term: number; diskId: string }, sent: Sent): Promise<boolean> {
+  async #recordAnswer(answer: { term: number; diskId: string }, sent: Sent): Promise<boolean> {
     const { replica, term } = this.#opts
     if (answer.term > term) {
       await replica.noticeTerm(answer.term)
       return false
     }
     if (this.#stopping.signal.aborted) return false
-    this.progress.hear(answer.diskId, sent, replica.clock.monotonicMs())
+    this.progress.recordAnswer(answer.diskId, sent, replica.clock.monotonicMs())
     return true
   }
 
--- a/consensus/raft/src/proposals.ts
+++ b/consensus/raft/src/proposals.ts
@@ -36,22 +36,22 @@
   }
 
   /** An entry that is no proposal was committed there. */
-  displaced(index: number): void {
+  rejectDisplaced(index: number): void {
     this.#settle((at) => at === index, createReplaced())
   }
 
   /** A snapshot does not tell which entries it stands for. */
-  skipTo(index: number): void {
+  rejectUpTo(index: number): void {
     this.#settle((at) => at <= index, createUnknown('a snapshot took the place of the entry'))
   }
 
   /** Settles those of terms before `term`. */
-  giveUp(term: number, error: NettlespurError): void {
+  rejectBeforeTerm(term: number, error: NettlespurError): void {
     this.#settle((_, waiting) => waiting.term < term, error)
   }
 
   /** Settles those whose entries are not on this disk and were sent nowhere else. */
-  refuseAfter(index: number, error: NettlespurError): void {
+  rejectAfter(index: number, error: NettlespurError): void {
     this.#settle((at) => at > index, error)
   }
 
--- a/consensus/raft/src/raftNode.ts
+++ b/consensus/raft/src/raftNode.ts
@@ -13,7 +13,7 @@
 import { encodeCommand } from './entryPayload.js'
 import { createNoQuorum, Leader } from './leader.js'
 import { findMember, type Member } from './member.js'
-import { MembershipKeeper } from './membershipKeeper.js'
+import { MembershipManager } from './membershipManager.js'
 import type {
   AppendAnswer,
   AppendRequest,
@@ -25,18 +25,18 @@
 } from './messages.js'
 import { createUnknown, Proposals } from './proposals.js'
 import type { RaftOptions } from './raftOptions.js'
-import { Replica, type Standing } from './replica.js'
+import { Replica, type LeadershipState } from './replica.js'
 import { SnapshotReceiver } from './snapshotReceiver.js'
 import { transferLeadership } from './transferLeadership.js'
 import { handleVoteRequest } from './voteHandler.js'
 
 /** Election timeouts after which a proposal of a former leadership is given up as unknown. */
-const patienceTimeouts = 3
+const unknownOutcomeTimeouts = 3
 const scanBytes = 1_048_576
 
 interface Leading<R> {
   readonly leader: Leader<R>
-  readonly keeper: MembershipKeeper<R>
+  readonly membershipManager: MembershipManager<R>
 }
 
 export class RaftNode<R> {
@@ -69,8 +69,8 @@
   }
 
   /** The present value at once, then each change. */
-  get standing(): Observable<Standing> {
-    return this.#replica.standing
+  get leadership(): Observable<LeadershipState> {
+    return this.#replica.leadership
   }
 
   /**
@@ -78,9 +78,9 @@
    * an election timeout is not named: while no majority can elect, its followers would name it on and on.
    */
   get leader(): Member | undefined {
-    const { standing, membership, role, hearsLeader } = this.#replica
-    const { leaderId } = standing.value
-    if (role !== 'leader' && !hearsLeader) return undefined
+    const { leadership, membership, role, hasRecentLeader } = this.#replica
+    const { leaderId } = leadership.value
+    if (role !== 'leader' && !hasRecentLeader) return undefined
     return leaderId === undefined ? undefined : findMember(membership, leaderId)
   }
 
@@ -89,10 +89,10 @@
    * committed leaves it in its own log alone: newcomers that took that for granted stayed outside for ever.
    */
   get isMember(): boolean {
-    const { memberships, membership, commitIndex, memberId, hearsLeader } = this.#replica
+    const { memberships, membership, commitIndex, memberId, hasRecentLeader } = this.#replica
     const committed = memberships.at(commitIndex.value)
     if (findMember(membership, memberId) === undefined) return false
-    return findMember(committed, memberId) !== undefined || hearsLeader
+    return findMember(committed, memberId) !== undefined || hasRecentLeader
   }
 
   /** Index of the newest applied entry, from now on. */
@@ -107,7 +107,7 @@
   propose(command: Buffer): EitherAsync<NettlespurError, R> {
     return tryAsync(() => {
       const { leader } = this.#requireLeading()
-      if (leader.transferring) throw createNotLeader('the leadership is being handed over')
+      if (leader.isTransferring) throw createNotLeader('the leadership is being handed over')
       if (this.#proposals.size >= this.#replica.limits.waitingProposals) {
         throw createNoQuorum('too many changes wait for their commit')
       }
@@ -122,12 +122,12 @@
 
   /** Errors: `membership-refused`, `outcome-unknown`, `not-leader`. */
   addMember(member: Member): EitherAsync<NettlespurError, void> {
-    return tryAsync(async () => this.#requireLeading().keeper.add(member))
+    return tryAsync(async () => this.#requireLeading().membershipManager.add(member))
   }
 
   /** Errors: as `addMember`, and `unknown-member`. */
   removeMember(memberId: string): EitherAsync<NettlespurError, void> {
-    return tryAsync(async () => this.#requireLeading().keeper.remove(memberId))
+    return tryAsync(async () => this.#requireLeading().membershipManager.remove(memberId))
   }
 
   /** True where this instance led and leads no more. */
@@ -153,7 +153,7 @@
   }
 
   handleTimeoutNow({ term }: TimeoutNowRequest): Promise<void> {
-    void this.#election.standNow(term, this.#stopping.signal)
+    void this.#election.campaignNow(term, this.#stopping.signal)
     return Promise.resolve()
   }
 
@@ -173,15 +173,15 @@
     let index = Math.max(opts.store.firstIndex, opts.store.snapshotMeta.index + 1)
     while (index <= log.lastIndex) {
       const entries = await log.read(index, scanBytes)
-      for (const entry of entries) memberships.note(entry)
+      for (const entry of entries) memberships.recordEntry(entry)
       index += Math.max(1, entries.length)
     }
   }
 
   #start(): void {
     const { signal } = this.#stopping
-    this.#replica.standing.subscribe((standing) => {
-      this.#follow(standing)
+    this.#replica.leadership.subscribe((leadership) => {
+      this.#follow(leadership)
     })
     this.#tasks = Promise.all([
       this.#election.run(signal),
@@ -197,22 +197,22 @@
 
   #lead(disks: ReadonlyMap<string, string>): void {
     const leader = new Leader(this.#replica, this.#proposals, disks)
-    const keeper = new MembershipKeeper(leader)
-    this.#leading = { leader, keeper }
-    this.#replica.stand('leader', this.#replica.memberId)
-    void keeper.run()
+    const membershipManager = new MembershipManager(leader)
+    this.#leading = { leader, membershipManager }
+    this.#replica.setRole('leader', this.#replica.memberId)
+    void membershipManager.run()
   }
 
-  #follow({ role, term, leaderId }: Standing): void {
+  #follow({ role, term, leaderId }: LeadershipState): void {
     const { opts, memberId, clock } = this.#replica
     opts.logger.info({ event: 'raft.standing', memberId, role, term, leaderId })
     const leading = this.#leading
     if (leading === undefined || role === 'leader') return
     this.#leading = undefined
     leading.leader.end()
-    const patienceMs = opts.timings.electionTimeoutMs * patienceTimeouts
+    const patienceMs = opts.timings.electionTimeoutMs * unknownOutcomeTimeouts
     void clock.sleep(patienceMs, this.#stopping.signal).then(() => {
-      this.#proposals.giveUp(leading.leader.term + 1, createUnknown('the leader changed'))
+      this.#proposals.rejectBeforeTerm(leading.leader.term + 1, createUnknown('the leader changed'))
     })
   }
 
--- a/consensus/raft/src/replica.ts
+++ b/consensus/raft/src/replica.ts
@@ -15,7 +15,7 @@
 export type RaftRole = 'follower' | 'candidate' | 'leader'
 
 /** Who leads, as this member sees it. */
-export interface Standing {
+export interface LeadershipState {
   readonly role: RaftRole
   readonly term: number
   readonly leaderId: string | undefined
@@ -26,7 +26,7 @@
   readonly limits: RaftLimits
   readonly log: EntryLog
   readonly memberships: MembershipHistory
-  readonly standing: BehaviorSubject<Standing>
+  readonly leadership: BehaviorSubject<LeadershipState>
   readonly commitIndex: BehaviorSubject<number>
   readonly appliedIndex: BehaviorSubject<number>
   /** When a leader was last heard; a start counts, since what was heard before it is forgotten. */
@@ -51,7 +51,7 @@
         : new MembershipHistory(index, snapshotMembershipSchema.parse(membership).membership)
     this.commitIndex = new BehaviorSubject(index)
     this.appliedIndex = new BehaviorSubject(index)
-    this.standing = new BehaviorSubject<Standing>({
+    this.leadership = new BehaviorSubject<LeadershipState>({
       role: 'follower',
       term: store.hardState.term,
       leaderId: undefined,
@@ -77,7 +77,7 @@
   }
 
   get role(): RaftRole {
-    return this.standing.value.role
+    return this.leadership.value.role
   }
 
   get membership(): Membership {
@@ -85,14 +85,14 @@
   }
 
   /** Whether this member may be elected, on the disk it has. */
-  get mayLead(): boolean {
+  get canBeElected(): boolean {
     const known = this.membership.members.find(({ memberId }) => memberId === this.memberId)
     const sameDisk = known?.diskId === undefined || known.diskId === this.diskId
     return this.fault === undefined && sameDisk && isVoter(this.membership, this.memberId)
   }
 
   /** A leader was heard within an election timeout. */
-  get hearsLeader(): boolean {
+  get hasRecentLeader(): boolean {
     const { clock, timings } = this.opts
     return clock.monotonicMs() - this.heardLeaderMs < timings.electionTimeoutMs
   }
@@ -102,13 +102,13 @@
    * confirmed by a quorum. Such members elect within a few heartbeats: after a loss of power of all five a leader stands
    * soon after the last of a majority has opened its log, in place of a whole election timeout later.
    */
-  get isFresh(): boolean {
+  get canElectEarly(): boolean {
     return this.opts.leaseReads === false && !this.#hasKnownLeader
   }
 
   /** Whether it refuses its vote, since a leader may be alive. */
-  get holdsBackVotes(): boolean {
-    return this.role === 'leader' || (this.hearsLeader && !this.isFresh)
+  get shouldRefuseVotes(): boolean {
+    return this.role === 'leader' || (this.hasRecentLeader && !this.canElectEarly)
   }
 
   random(): number {
@@ -120,10 +120,10 @@
     return this.#queue.run(async () => {
       if (this.fault !== undefined) throw this.fault
       try {
-        if (this.role !== 'leader') await this.#settleUnwritten()
+        if (this.role !== 'leader') await this.#resolveUnwrittenEntries()
         return await task()
       } catch (thrown) {
-        this.#noteFailure(toNettlespurError(thrown))
+        this.#handleWriteFailure(toNettlespurError(thrown))
         throw thrown
       }
     })
@@ -132,7 +132,7 @@
   /** Within `exclusive`: takes a higher term, and with it gives its vote where one is named. */
   async adoptTerm(term: number, votedFor?: string): Promise<void> {
     this.becomeFollower(undefined)
-    await this.#settleUnwritten()
+    await this.#resolveUnwrittenEntries()
     await this.opts.store.saveHardState({ term, votedFor })
     this.becomeFollower(undefined)
   }
@@ -148,25 +148,25 @@
 
   becomeFollower(leaderId: string | undefined): void {
     if (this.role === 'leader') this.electionResetMs = this.clock.monotonicMs()
-    this.stand('follower', leaderId)
+    this.setRole('follower', leaderId)
   }
 
-  stand(role: RaftRole, leaderId: string | undefined): void {
-    const { standing, term } = this
-    const before = standing.value
+  setRole(role: RaftRole, leaderId: string | undefined): void {
+    const { leadership, term } = this
+    const before = leadership.value
     if (role === 'leader') this.#hasKnownLeader = true
     if (before.role === role && before.term === term && before.leaderId === leaderId) return
-    standing.next({ role, term, leaderId })
+    leadership.next({ role, term, leaderId })
   }
 
-  hearLeader(leaderId: string): void {
+  recordLeaderContact(leaderId: string): void {
     this.#hasKnownLeader = true
     this.heardLeaderMs = this.clock.monotonicMs()
     this.electionResetMs = this.heardLeaderMs
     this.becomeFollower(leaderId)
   }
 
-  commitTo(index: number): void {
+  advanceCommitIndex(index: number): void {
     if (index > this.commitIndex.value) this.commitIndex.next(index)
   }
 
@@ -174,14 +174,14 @@
    * What a former leadership sent out before it was written here. The followers may have committed it without
    * this disk: that part is written now, as new leaders take it for held here; the rest is forgotten.
    */
-  async #settleUnwritten(): Promise<void> {
+  async #resolveUnwrittenEntries(): Promise<void> {
     const { log, limits, commitIndex } = this
     log.discardUnwritten(commitIndex.value)
     while (log.writtenIndex < log.lastIndex) await log.flush(limits.batchBytes)
     this.memberships.truncateFrom(log.writtenIndex + 1)
   }
 
-  #noteFailure(error: NettlespurError): void {
+  #handleWriteFailure(error: NettlespurError): void {
     this.log.reload()
     this.memberships.truncateFrom(this.log.writtenIndex + 1)
     this.opts.logger.error({ event: 'raft.write-failed', kind: error.kind, reason: error.message })
--- a/consensus/raft/src/readWatch.ts
+++ b/consensus/raft/src/slowReadLogger.ts
@@ -9,13 +9,13 @@
 /** What a read waits on, in this order. */
 export type ReadStep = 'commit' | 'quorum' | 'apply'
 
-export interface ReadEnd {
+export interface ReadReport {
   readonly outcome: 'slow' | 'refused'
   readonly step: ReadStep
   readonly tookMs: number
 }
 
-export class ReadWatch<R> {
+export class SlowReadLogger<R> {
   readonly #leader: Leader<R>
   #lineMs = -Infinity
   #unwritten = 0
@@ -24,7 +24,7 @@
     this.#leader = leader
   }
 
-  note({ outcome, step, tookMs }: ReadEnd): void {
+  note({ outcome, step, tookMs }: ReadReport): void {
     const { clock, opts } = this.#leader.replica
     const nowMs = clock.monotonicMs()
     if (nowMs - this.#lineMs < lineEveryMs) {
@@ -47,8 +47,14 @@
     const quietMsMax = 2 * replica.opts.timings.heartbeatMs
     return [...new Set([...voters, ...(outgoing ?? [])])]
       .filter((memberId) => memberId !== replica.memberId)
-      .map((memberId) => ({ memberId, heardMs: this.#leader.getProgress(memberId)?.heardMs }))
-      .map(({ memberId, heardMs }) => ({ memberId, quietMs: nowMs - (heardMs ?? -Infinity) }))
+      .map((memberId) => ({
+        memberId,
+        lastAnswerMs: this.#leader.getProgress(memberId)?.lastAnswerMs,
+      }))
+      .map(({ memberId, lastAnswerMs }) => ({
+        memberId,
+        quietMs: nowMs - (lastAnswerMs ?? -Infinity),
+      }))
       .filter(({ quietMs }) => quietMs > quietMsMax)
       .map(({ memberId, quietMs }) => `${memberId}:${Math.round(quietMs)}`)
   }
--- a/consensus/raft/src/snapshotReceiver.ts
+++ b/consensus/raft/src/snapshotReceiver.ts
@@ -7,7 +7,7 @@
 import type { Replica } from './replica.js'
 import { snapshotMembershipSchema } from './snapshotMembership.js'
 
-interface Partial {
+interface PartialSnapshot {
   readonly index: number
   readonly term: number
   readonly totalBytes: number
@@ -18,7 +18,7 @@
 export class SnapshotReceiver<R> {
   readonly #replica: Replica<R>
   readonly #restore: (index: number, data: Buffer) => void
-  #partial: Partial | undefined
+  #partial: PartialSnapshot | undefined
 
   constructor(replica: Replica<R>, restore: (index: number, data: Buffer) => void) {
     this.#replica = replica
@@ -30,8 +30,8 @@
     return replica.exclusive(async () => {
       const leads = await acceptLeader(replica, request)
       if (!leads) return this.#answer(0, false)
-      if (await this.#stands(request)) return this.#answer(request.totalBytes, true)
-      const partial = this.#take(request)
+      if (await this.#commitIfHeld(request)) return this.#answer(request.totalBytes, true)
+      const partial = this.#addPiece(request)
       if (partial.bytes < partial.totalBytes) return this.#answer(partial.bytes, false)
       await this.#install(request, Buffer.concat(partial.pieces))
       return this.#answer(request.totalBytes, true)
@@ -39,15 +39,21 @@
   }
 
   /** A log that holds the snapshot's last entry keeps what follows it: that may have been acknowledged. */
-  async #stands({ snapshotIndex, snapshotTerm }: InstallRequest): Promise<boolean> {
+  async #commitIfHeld({ snapshotIndex, snapshotTerm }: InstallRequest): Promise<boolean> {
     const { log, commitIndex } = this.#replica
     if (snapshotIndex <= commitIndex.value) return true
     if (log.termAt(snapshotIndex) !== snapshotTerm) return false
-    this.#replica.commitTo(snapshotIndex)
+    this.#replica.advanceCommitIndex(snapshotIndex)
     return Promise.resolve(true)
   }
 
-  #take({ snapshotIndex, snapshotTerm, totalBytes, offset, data }: InstallRequest): Partial {
+  #addPiece({
+    snapshotIndex,
+    snapshotTerm,
+    totalBytes,
+    offset,
+    data,
+  }: InstallRequest): PartialSnapshot {
     let partial = this.#partial
     const same =
       partial?.index === snapshotIndex &&
--- a/consensus/raft/src/snapshotSender.ts
+++ b/consensus/raft/src/snapshotSender.ts
@@ -33,7 +33,7 @@
     }
   }
 
-  take({ nextOffset, installed }: InstallAnswer): void {
+  recordAnswer({ nextOffset, installed }: InstallAnswer): void {
     this.#offset = nextOffset
     if (installed) this.#snapshot = undefined
   }
--- a/consensus/raft/src/transferLeadership.ts
+++ b/consensus/raft/src/transferLeadership.ts
@@ -13,9 +13,9 @@
 /** True once this instance leads no more. Until then, or until it gives up, nothing new is taken. */
 export async function transferLeadership<R>(leader: Leader<R>): Promise<boolean> {
   if (listOthers(leader).length === 0) return false
-  leader.transferring = true
+  leader.isTransferring = true
   const done = await new Transfer(leader).run()
-  leader.transferring = false
+  leader.isTransferring = false
   return done
 }
 
@@ -73,22 +73,22 @@
     const leader = this.#leader
     const lag = ({ memberId }: Member): number => -(leader.getProgress(memberId)?.matchIndex ?? 0)
     const answers = ({ memberId }: Member): boolean => {
-      const heardMs = leader.getProgress(memberId)?.heardMs ?? -Infinity
-      return this.#clock.monotonicMs() - heardMs < this.#timeoutMs
+      const lastAnswerMs = leader.getProgress(memberId)?.lastAnswerMs ?? -Infinity
+      return this.#clock.monotonicMs() - lastAnswerMs < this.#timeoutMs
     }
     return listOthers(leader)
       .filter((member) => !this.#tried.has(member.memberId))
-      .filter((member) => leader.counts(member.memberId) && answers(member))
+      .filter((member) => leader.hasMatchingDisk(member.memberId) && answers(member))
       .sort((left, right) => lag(left) - lag(right))[0]
   }
 
   async #tryTarget(target: Member): Promise<boolean> {
     const { term, replica } = this.#leader
-    const { log, opts, memberId: leaderId, standing } = replica
+    const { log, opts, memberId: leaderId, leadership } = replica
     const isLevel = (): boolean =>
       this.#leader.getProgress(target.memberId)?.matchIndex === log.lastIndex
     if (!(await this.#waitForAnswer(isLevel))) return this.#isOver
-    this.#leader.mayHoldLease = false
+    this.#leader.canHoldLease = false
     try {
       await opts.transport.timeoutNow(target, { term, leaderId })
     } catch (cause) {
@@ -97,7 +97,7 @@
       return this.#isOver
     }
     const leadsNoMore = ({ role }: { role: string }): boolean => role !== 'leader'
-    return waitFor(this.#clock, standing, leadsNoMore, { timeoutMs: this.#limitMs() })
+    return waitFor(this.#clock, leadership, leadsNoMore, { timeoutMs: this.#limitMs() })
   }
 
   /** Looks again after each answer of a peer. */
--- a/consensus/raft/src/voteHandler.ts
+++ b/consensus/raft/src/voteHandler.ts
@@ -8,7 +8,7 @@
   request: VoteRequest,
 ): Promise<VoteAnswer> {
   return replica.exclusive(async () => {
-    const granted = mayAnswer(replica, request) && (await decide(replica, request))
+    const granted = canConsiderVote(replica, request) && (await castVote(replica, request))
     return { term: replica.term, diskId: replica.diskId, granted }
   })
 }
@@ -17,16 +17,16 @@
  * Who hears a leader refuses to unseat it, without taking the candidate's term; the leader itself refuses
  * too. A candidate on another disk than the known one has lost entries it had acknowledged.
  */
-function mayAnswer<R>(replica: Replica<R>, request: VoteRequest): boolean {
+function canConsiderVote<R>(replica: Replica<R>, request: VoteRequest): boolean {
   const { membership } = replica
   const { candidateId, diskId } = request
   if (findMember(membership, candidateId) !== undefined) {
     if (!acceptsDisk(membership, candidateId, diskId)) return false
   }
-  return request.transfer || !replica.holdsBackVotes
+  return request.transfer || !replica.shouldRefuseVotes
 }
 
-async function decide<R>(replica: Replica<R>, request: VoteRequest): Promise<boolean> {
+async function castVote<R>(replica: Replica<R>, request: VoteRequest): Promise<boolean> {
   const { term, candidateId, preVote } = request
   const upToDate = isUpToDate(replica, request)
   if (preVote) return term > replica.term && upToDate
--- a/consensus/raft/test/applyLoop.test.ts
+++ b/consensus/raft/test/applyLoop.test.ts
@@ -41,7 +41,7 @@
   })
   const ending = new AbortController()
   const running = new ApplyLoop(replica, new Proposals<number>()).run(ending.signal)
-  replica.commitTo(lost)
+  replica.advanceCommitIndex(lost)
   await clock.advance(1000)
   t.true(reads <= readsMax, `${reads} reads`)
   t.is(events.filter(({ event }) => event === 'raft.apply-waits').length, 1)
--- a/consensus/raft/test/member.test.ts
+++ b/consensus/raft/test/member.test.ts
@@ -1,6 +1,6 @@
 /** Who counts as a voter while the voters change. */
 import test from 'ava'
-import { isSettledVoter, isVoter } from '../src/member.js'
+import { isVoterInBothSets, isVoter } from '../src/member.js'
 
 test('a member that joins the voters counts as one only once the change is done', (t) => {
   const members = ['a', 'b', 'c', 'd'].map((memberId) => ({
@@ -10,8 +10,8 @@
   }))
   const joint = { members, voters: ['b', 'c', 'd'], outgoing: ['a', 'b', 'c'] }
   t.true(isVoter(joint, 'd'))
-  t.false(isSettledVoter(joint, 'd'))
-  t.false(isSettledVoter(joint, 'a'))
-  t.true(isSettledVoter(joint, 'b'))
-  t.true(isSettledVoter({ members, voters: ['b', 'c', 'd'] }, 'd'))
+  t.false(isVoterInBothSets(joint, 'd'))
+  t.false(isVoterInBothSets(joint, 'a'))
+  t.true(isVoterInBothSets(joint, 'b'))
+  t.true(isVoterInBothSets({ members, voters: ['b', 'c', 'd'] }, 'd'))
 })
--- a/consensus/raft/test/raftNode.test.ts
+++ b/consensus/raft/test/raftNode.test.ts
@@ -177,7 +177,7 @@
   // Its first requests have no answer yet, so that it knows of no follower that could take over.
   let transfer: Promise<boolean> | undefined
   for (const { raft } of cluster.running.values()) {
-    raft.standing.subscribe(({ role }) => {
+    raft.leadership.subscribe(({ role }) => {
       if (role === 'leader') transfer ??= raft.transferLeadership()
     })
   }
--- a/control/log/src/raftLog.ts
+++ b/control/log/src/raftLog.ts
@@ -6,7 +6,7 @@
   type RaftOptions,
   type RaftTimings,
   type RaftTransport,
-  type Standing,
+  type LeadershipState,
 } from '@nettlespur/consensus.raft'
 import type { Command, CommandResult, StateHolder } from '@nettlespur/control.state'
 import type { Clock } from '@nettlespur/core.clock'
@@ -57,7 +57,7 @@
     this.#store = store
     this.receiver = node
     this.leadership = new BehaviorSubject<Leadership>({ isLeader: false, term: 0 })
-    node.standing.subscribe((standing) => {
+    node.leadership.subscribe((standing) => {
       this.leadership.next(this.#toLeadership(standing))
     })
   }
@@ -138,7 +138,7 @@
     }
   }
 
-  #toLeadership({ role, term, leaderId }: Standing): Leadership {
+  #toLeadership({ role, term, leaderId }: LeadershipState): Leadership {
     const leader = this.#node.describe().members.find(({ memberId }) => memberId === leaderId)
     return { isLeader: role === 'leader', term, leaderId, leaderAddress: leader?.peerAddress }
   }
