--- a/consensus/raft/src/appendHandler.ts
+++ b/consensus/raft/src/appendHandler.ts
@@ -1,4 +1,4 @@
-/** Takes a leader's entries. What is acknowledged is synced. */
+/** Handles AppendEntries requests. Entries are synced to disk before they are acknowledged. */
 import { NettlespurError, toNettlespurError } from '@nettlespur/core.errors'
 import type { LogEntry } from '@nettlespur/storage.log'
 import { checkEntry } from './entryPayload.js'
@@ -6,8 +6,8 @@
 import type { Replica } from './replica.js'
 
 /**
- * Errors: rejects with `storage-damaged` for an entry that cannot be read, and takes none of the request. That is
- * thrown outside the turn, where it would count as a fault of the store and end this member's part for good.
+ * Errors: rejects with `storage-damaged` if an entry cannot be decoded; no entry of the request is then stored. The
+ * error is thrown outside `exclusive`, which would treat it as a failed write and permanently disable this member.
  */
 export async function handleAppend<R>(
   replica: Replica<R>,
@@ -47,7 +47,10 @@
   return createAnswer(replica, true, matchIndex)
 }
 
-/** Before any entry is stored: one that cannot be read would stop every member once it is committed. */
+/**
+ * Checks all entries before any is stored: an entry that cannot be decoded would stop every member once it is
+ * committed. Returns undefined if all can be decoded.
+ */
 function findUnreadable({ prevIndex, entries }: AppendRequest): NettlespurError | undefined {
   try {
     entries.forEach((entry, offset) => {
@@ -59,7 +62,10 @@
   }
 }
 
-/** Within `exclusive`: whether the sender leads, which also holds back an election here. */
+/**
+ * Returns whether the sender is the leader of the current term, after adopting a higher term. If so, also resets the
+ * election timeout of this member. Must run within `exclusive`.
+ */
 export async function acceptLeader<R>(
   replica: Replica<R>,
   { term, leaderId }: { term: number; leaderId: string },
@@ -70,14 +76,17 @@
   return true
 }
 
-/** Entries that are held already stay untouched: a late request must not cut what a newer one brought. */
+/**
+ * Stores the entries this log does not hold yet, and first truncates a conflicting tail. Entries held already are not
+ * truncated: a delayed request must not remove entries that a newer one appended.
+ */
 async function takeEntries<R>(
   replica: Replica<R>,
   { prevIndex, entries }: AppendRequest,
 ): Promise<void> {
   const { log, memberships, commitIndex } = replica
   const sent = entries.map((entry, offset) => ({ ...entry, index: prevIndex + 1 + offset }))
-  // What was committed may be gone from here: a leader whose disk was full never wrote it.
+  // The log may end before the commit index: a leader whose disk was full never wrote some committed entries.
   const heldIndex = Math.min(commitIndex.value, log.lastIndex)
   const known = (entry: LogEntry): boolean =>
     entry.index <= heldIndex || log.termAt(entry.index) === entry.term
@@ -93,7 +102,7 @@
   for (const entry of fresh) memberships.recordEntry(entry)
 }
 
-/** An index below which the logs may be equal: steps over the whole term that differs. */
+/** Returns the highest index at which the logs may still match: skips all entries of the conflicting term at once. */
 function findLastPossibleMatch<R>(
   { log, commitIndex }: Replica<R>,
   prevIndex: number,
--- a/consensus/raft/src/applyLoop.ts
+++ b/consensus/raft/src/applyLoop.ts
@@ -1,4 +1,4 @@
-/** Applies what is committed, in order, and takes snapshots. */
+/** Applies committed entries to the state machine in log order, and takes snapshots. */
 import type { LogEntry } from '@nettlespur/storage.log'
 import { decodePayload } from './entryPayload.js'
 import type { Proposals } from './proposals.js'
@@ -14,7 +14,7 @@
   readonly #wake = new Wake()
   #entriesSinceSnapshot = 0
   #bytesSinceSnapshot = 0
-  /** What is committed and not held here is told once. */
+  /** True while the next committed entry is missing from this log, which is logged once. */
   #isWaiting = false
   #isSaving = false
 
@@ -23,7 +23,7 @@
     this.#proposals = proposals
   }
 
-  /** Puts a received snapshot in the place of the state. */
+  /** Replaces the state with that of a snapshot, and rejects the proposals up to its index. */
   restore(index: number, data: Buffer): void {
     const { opts, appliedIndex } = this.#replica
     opts.machine.restore(index, data)
@@ -34,7 +34,7 @@
     this.#replica.advanceCommitIndex(index)
   }
 
-  /** One task, until `signal` is aborted. */
+  /** Runs until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { commitIndex, appliedIndex, clock, opts } = this.#replica
     const watching = commitIndex.subscribe(() => {
@@ -45,8 +45,8 @@
       const isBehind = before < commitIndex.value
       if (isBehind) await this.#applyNext()
       if (appliedIndex.value > before) continue
-      // What is committed may be gone from here until the leader sends it again: asked for at once, it was asked
-      // for 1,000 times within one moment, and nothing else ever ran.
+      // A committed entry may be missing here until the leader resends it. Reading again without a pause would repeat
+      // about 1,000 times in a moment and starve every other task.
       await this.#wake.wait(clock, isBehind ? opts.timings.heartbeatMs : idleCheckMs, signal)
     }
     watching.unsubscribe()
@@ -56,12 +56,12 @@
     const { log, limits, appliedIndex, commitIndex } = this.#replica
     const entries = await log.read(appliedIndex.value + 1, limits.batchBytes)
     for (const entry of entries) {
-      // A snapshot may have been installed, and an uncommitted tail is read too.
+      // A snapshot may have been installed during the read, and the read may extend past the commit index.
       if (entry.index !== appliedIndex.value + 1 || entry.index > commitIndex.value) break
       this.#apply(entry)
     }
     this.#logMissingEntries(entries.length > 0)
-    // Reads wait for what is applied, not for the disk: with a save that hung, one of six was answered.
+    // Not awaited: reads wait for entries to be applied, and while a save hung, only one read in six was answered.
     if (this.#isSnapshotDue() && !this.#isSaving) void this.#tryToTakeSnapshot()
   }
 
@@ -95,7 +95,7 @@
     )
   }
 
-  /** Without a snapshot the log grows on; the next one is due as late as ever. */
+  /** A failed snapshot is only logged: the log keeps growing, and the next attempt waits for the usual interval. */
   async #tryToTakeSnapshot(): Promise<void> {
     this.#isSaving = true
     try {
@@ -109,7 +109,7 @@
   async #takeSnapshot(): Promise<void> {
     const { opts, appliedIndex, memberships, limits, log } = this.#replica
     const index = appliedIndex.value
-    // Followers commit what a leader whose disk is slow has not written yet: its snapshot waits for later entries.
+    // Followers can commit entries that a leader with a slow disk has not written yet: skip the snapshot until it has.
     if (index > log.writtenIndex) return
     const data = opts.machine.takeSnapshot()
     const membership: SnapshotMembership = {
--- a/consensus/raft/src/confirmLeadership.ts
+++ b/consensus/raft/src/confirmLeadership.ts
@@ -1,8 +1,8 @@
 /**
- * What a read needs: that this member leads still, and that it has applied what was committed before. A
- * lease answers without asking: no voter that answered helps to elect another leader for an election
- * timeout of its own clock, counted here from when the request was sent. Clocks may run apart by
- * `clockDriftShare` at the most.
+ * Makes reads linearizable: confirms that this member still leads and that it has applied every entry committed before
+ * the read. With a valid lease no request is needed: a voter that answered does not help to elect another leader for
+ * an election timeout of its own clock. The lease is counted from when the answered request was sent, and allows for
+ * clocks that drift apart by up to `clockDriftShare`.
  */
 import { waitFor } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -24,7 +24,7 @@
   if (!confirmed) throw refuse(leader)
 }
 
-/** The step named is the one that failed, or the one that took longest. */
+/** Returns the step that failed or, if the leadership was confirmed, the step that took longest. */
 async function confirm<R>(leader: Leader<R>): Promise<{ step: ReadStep; confirmed: boolean }> {
   const { clock, commitIndex, appliedIndex, opts } = leader.replica
   const timeoutMs = opts.timings.electionTimeoutMs
@@ -60,7 +60,7 @@
   return nowMs - sentMs < opts.timings.electionTimeoutMs * (1 - clockDriftShare)
 }
 
-/** A round of requests sent from now on, answered by a quorum. */
+/** Returns whether a quorum answers requests sent after this call, within an election timeout. */
 async function askQuorum<R>(leader: Leader<R>): Promise<boolean> {
   const { clock, opts } = leader.replica
   const sequence = leader.allocateSequence()
@@ -75,5 +75,5 @@
 
 function refuse<R>(leader: Leader<R>): NettlespurError {
   if (!leader.ended.aborted) return createNoQuorum('no majority of the voters answers')
-  return new NettlespurError('not-leader', 'this instance leads no more', { retryAfterMs: 250 })
+  return new NettlespurError('not-leader', 'this instance no longer leads', { retryAfterMs: 250 })
 }
--- a/consensus/raft/src/describeNode.ts
+++ b/consensus/raft/src/describeNode.ts
@@ -1,4 +1,4 @@
-/** How a member stands, for operators. */
+/** Describes a node and the members it knows, for operators. */
 import type { Leader } from './leader.js'
 import { isVoterInBothSets, type Member } from './member.js'
 import type { Replica, RaftRole } from './replica.js'
@@ -6,9 +6,9 @@
 
 export interface MemberDescription extends Member {
   readonly role: 'leader' | 'voter' | 'learner'
-  /** Entries it is behind the leader; known to the leader only, 0 elsewhere. */
+  /** Number of entries it is behind the leader. Known to the leader only; 0 on other members. */
   readonly lagEntries: number
-  /** Since the leader last heard from it; known to the leader only, 0 elsewhere. */
+  /** Time since its last answer to the leader. Known to the leader only; 0 on other members. */
   readonly silentMs: number
 }
 
@@ -19,7 +19,7 @@
   readonly commitIndex: number
   readonly appliedIndex: number
   readonly lastIndex: number
-  /** Absent where there is no snapshot. */
+  /** Undefined if there is no snapshot. */
   readonly snapshotAgeMs: number | undefined
   readonly members: readonly MemberDescription[]
 }
--- a/consensus/raft/src/election.ts
+++ b/consensus/raft/src/election.ts
@@ -1,14 +1,14 @@
 /**
- * Stands for election after a silence of random length. A pre-vote comes first, so that a member that only
- * lost its connections raises nobody's term.
+ * Starts an election when no leader has been heard for a randomised timeout. A pre-vote comes first, so that a member
+ * that was only disconnected does not raise the term of the others.
  */
 import { pollVoters } from './poll.js'
 import type { Replica } from './replica.js'
 
-/** How much longer than the shortest the longest wait is, so that few stand at the same time. */
+/** Maximum random share of the election timeout added to it, so that few members become candidates at the same time. */
 const spreadShare = 0.5
 
-/** Takes over the leadership of the present term; given the disks of those who voted. */
+/** Starts leading the current term. `disks` holds the disk ID of each member that granted its vote, by member ID. */
 export type StartLeading = (disks: ReadonlyMap<string, string>) => void
 
 export class Election<R> {
@@ -20,7 +20,7 @@
     this.#startLeading = startLeading
   }
 
-  /** One task, until `signal` is aborted. */
+  /** Runs until `signal` is aborted. A sole voter starts an election at once. */
   async run(signal: AbortSignal): Promise<void> {
     const isOver = (): boolean => signal.aborted
     if (this.#isAlone()) await this.#tryToLead(false, signal)
@@ -31,8 +31,8 @@
   }
 
   /**
-   * A member that has heard no leader since its start waits for one to two heartbeats: a leader that lives reaches it
-   * within one, and the others refuse to unseat that leader anyway.
+   * A member that may elect early waits for one to two heartbeats: a live leader would reach it within one, and the
+   * members that hear such a leader refuse their votes anyway.
    */
   #drawWaitMs(): number {
     const { canElectEarly, opts } = this.#replica
@@ -42,12 +42,12 @@
     return electionTimeoutMs * (1 + random * spreadShare)
   }
 
-  /** Stands at once, on the leader's own word. */
+  /** Starts an election without a pre-vote, as the leader of `term` asked; does nothing if the term has changed. */
   async campaignNow(term: number, signal: AbortSignal): Promise<void> {
     if (term === this.#replica.term) await this.#tryToLead(true, signal)
   }
 
-  /** A fault of the disk ends one attempt, not the task. */
+  /** Logs an error such as a failed write: it ends this attempt, not the task. */
   async #tryToLead(transfer: boolean, signal: AbortSignal): Promise<void> {
     const replica = this.#replica
     replica.electionResetMs = replica.clock.monotonicMs()
--- a/consensus/raft/src/entryLog.ts
+++ b/consensus/raft/src/entryLog.ts
@@ -1,6 +1,6 @@
 /**
- * The log as this member sees it: what its store holds, and behind it what a leader has sent out before its
- * own sync has ended. The newest entries are kept in memory, so that steady replication reads no disk.
+ * The log of one member: the entries in its store, followed by those that it, as leader, replicates while its own
+ * write is still pending. The newest entries are cached in memory, so that steady replication does not read the disk.
  */
 import type { LogEntry, LogStore, Snapshot } from '@nettlespur/storage.log'
 
@@ -9,11 +9,11 @@
 export class EntryLog {
   readonly #store: LogStore
   readonly #cachedEntries: number
-  /** Without gaps, up to `lastIndex`. */
+  /** Consecutive entries that end at `lastIndex`. */
   #cache: LogEntry[] = []
   #writtenIndex: number
 
-  /** `cachedEntries` of those written stay in memory, up to twice as many. */
+  /** Once the cache holds twice `cachedEntries`, it is trimmed to that many; unwritten entries always stay. */
   constructor(store: LogStore, cachedEntries: number) {
     this.#store = store
     this.#cachedEntries = cachedEntries
@@ -28,7 +28,7 @@
     return this.#cache.at(-1)?.term ?? this.#store.lastTerm
   }
 
-  /** The last index that is synced here. */
+  /** The last index that is synced to this member's disk. */
   get writtenIndex(): number {
     return this.#writtenIndex
   }
@@ -37,14 +37,14 @@
     return this.#cached(index)?.term ?? this.#store.termAt(index)
   }
 
-  /** Takes an entry that follows; it is not on disk before `flush`. */
+  /** Appends an entry in memory only; `flush` writes it to disk. */
   push(term: number, payload: Buffer): LogEntry {
     const entry = { index: this.lastIndex + 1, term, payload }
     this.#cache.push(entry)
     return entry
   }
 
-  /** Writes pushed entries up to `bytesMax`. Errors: rejects as the store does. */
+  /** Writes unwritten entries, up to `bytesMax` of payload but at least one. Errors: rejects as the store does. */
   async flush(bytesMax: number): Promise<void> {
     const waiting = this.#cache.filter((entry) => entry.index > this.#writtenIndex)
     const batch = takeBytes(waiting, bytesMax)
@@ -55,7 +55,7 @@
     this.#trim()
   }
 
-  /** Forgets pushed entries that were never written, but for those up to `keptIndex`. */
+  /** Drops the unwritten entries after `keptIndex`. */
   discardUnwritten(keptIndex: number): void {
     this.#cutAfter(Math.max(this.#writtenIndex, keptIndex))
   }
@@ -75,7 +75,7 @@
     this.#writtenIndex = this.#store.lastIndex
   }
 
-  /** Entries from `fromIndex` on, at least one where it is held, up to `bytesMax` of payload. */
+  /** Reads entries from `fromIndex` on, up to `bytesMax` of payload but at least one if there is any. */
   async read(fromIndex: number, bytesMax: number): Promise<LogEntry[]> {
     const first = this.#cache[0]
     if (first === undefined || first.index > fromIndex) {
@@ -90,7 +90,7 @@
     this.#writtenIndex = this.#store.lastIndex
   }
 
-  /** After a failed write, only the store knows what there is. */
+  /** Resets to what the store holds, after a failed write; drops the unwritten entries. */
   reload(): void {
     this.#cache = []
     this.#writtenIndex = this.#store.lastIndex
--- a/consensus/raft/src/entryPayload.ts
+++ b/consensus/raft/src/entryPayload.ts
@@ -1,4 +1,4 @@
-/** What lies in an entry's payload: one byte that says which kind it is, then its content. */
+/** Encodes and decodes the payload of a log entry: one byte for its kind, then its content. */
 import { NettlespurError, toNettlespurError } from '@nettlespur/core.errors'
 import { membershipSchema, type Membership } from './member.js'
 import { readStoredJson } from './readStoredJson.js'
@@ -25,7 +25,7 @@
   ])
 }
 
-/** Errors: throws `storage-damaged` for a payload that none of the encoders made. */
+/** Errors: throws `storage-damaged` for an unknown kind or an invalid membership. */
 export function decodePayload(payload: Buffer): EntryContent {
   const content = payload.subarray(1)
   switch (payload[0]) {
@@ -48,7 +48,7 @@
   return readStoredJson(membershipSchema, content, 'the membership of an entry')
 }
 
-/** Errors: throws `storage-damaged`, naming the entry, for a payload that none of the encoders made. */
+/** Errors: throws `storage-damaged` with the entry's index if its payload cannot be decoded. */
 export function checkEntry({ index, payload }: { index: number; payload: Buffer }): void {
   try {
     decodePayload(payload)
--- a/consensus/raft/src/exclusiveQueue.ts
+++ b/consensus/raft/src/exclusiveQueue.ts
@@ -1,4 +1,4 @@
-/** Runs tasks one after the other, in the order they came. */
+/** Runs tasks one at a time, in the order of the calls; a task that fails does not stop the next. */
 export class ExclusiveQueue {
   #last: Promise<unknown> = Promise.resolve()
 
--- a/consensus/raft/src/index.ts
+++ b/consensus/raft/src/index.ts
@@ -1,4 +1,4 @@
-/** Agreement between control instances by Raft. */
+/** Raft consensus between control instances. */
 export type { MemberDescription, NodeDescription } from './describeNode.js'
 export { memberSchema, membershipSchema, type Member, type Membership } from './member.js'
 export * from './messages.js'
--- a/consensus/raft/src/leader.ts
+++ b/consensus/raft/src/leader.ts
@@ -1,6 +1,6 @@
 /**
- * One leadership: a task per peer, one that syncs the leader's own log while the peers append, and one that
- * steps down once no majority has answered for an election timeout.
+ * The leadership of one term. Runs a replication task per peer, a task that syncs the leader's own log in parallel, and
+ * a task that steps down once no quorum has answered for an election timeout.
  */
 import { NettlespurError, toNettlespurError } from '@nettlespur/core.errors'
 import { ReplaySubject, Subject, takeUntil, type Observable } from 'rxjs'
@@ -19,15 +19,14 @@
 export class Leader<R> {
   readonly term: number
   readonly replica: Replica<R>
-  /** Told after each answer of a peer; completes when this leadership ends. */
+  /** Emits after each answer of a peer; completes when this leadership ends. */
   readonly answers = new Subject<void>()
-  /** The first entry of this leadership: what is committed is known once this one is. */
+  /** Index of this leadership's first entry. The commit index is known to be current once it has reached this one. */
   readonly firstIndex: number
-  /** Set while another member is being made leader: nothing new is taken. */
+  /** True during a leadership transfer: new proposals are rejected. */
   isTransferring = false
-  /** Gone for good once another member was told to stand. */
+  /** False for the rest of this leadership once another member was asked to start an election. */
   canHoldLease = true
-  /** Told of reads whose confirmation was slow or refused. */
   readonly slowReadLogger: SlowReadLogger<R>
   readonly #proposals: Proposals<R>
   readonly #peers = new Map<string, PeerReplicator<R>>()
@@ -60,12 +59,12 @@
     this.#over.next()
   }
 
-  /** The same values until this leadership ends. */
+  /** Emits the same values as `values`, and completes when this leadership ends. */
   whileLeading<T>(values: Observable<T>): Observable<T> {
     return values.pipe(takeUntil(this.#over))
   }
 
-  /** Adds an entry: it goes to the peers and to the own disk at the same time. */
+  /** Appends an entry; it is replicated to the peers and written to the leader's own disk in parallel. */
   push(payload: Buffer) {
     const { log, memberships } = this.replica
     const entry = log.push(this.term, payload)
@@ -76,7 +75,7 @@
     return entry
   }
 
-  /** The reason goes into the log. */
+  /** Appends `membership` to the Raft log and returns its index; `reason` is only written to the log line. */
   pushMembership(membership: Membership, reason: string): number {
     const { index } = this.push(encodeMembership(membership))
     const { voters, outgoing } = membership
@@ -90,13 +89,16 @@
     return this.#peers.get(memberId)?.progress
   }
 
-  /** Whether the peer's answers count: they come from the disk the membership knows. */
+  /**
+   * Whether the peer last answered from the disk that the membership records for it, or the membership records none.
+   * Otherwise its answers do not count towards a quorum.
+   */
   hasMatchingDisk(memberId: string): boolean {
     const diskId = this.getProgress(memberId)?.diskId
     return diskId !== undefined && acceptsDisk(this.replica.membership, memberId, diskId)
   }
 
-  /** The highest value that a quorum has reached, where the leader itself stands at `own`. */
+  /** Returns the highest value that a quorum has reached; `own` is the value of the leader itself. */
   pickQuorum(own: number, valueOf: (progress: PeerProgress) => number): number {
     return pickQuorumValue(this.replica.membership, (memberId) => {
       if (memberId === this.replica.memberId) return own
@@ -107,13 +109,13 @@
     })
   }
 
-  /** Number of the next request; an answer to it proves that this leadership lasted until then. */
+  /** Returns the sequence number of a new request; an answer to it proves that this member led when it was sent. */
   allocateSequence(): number {
     this.#sequence++
     return this.#sequence
   }
 
-  /** Sends to all peers at once. */
+  /** Makes each peer's task send a request without waiting for the next heartbeat. */
   wakePeers(): void {
     for (const peer of this.#peers.values()) peer.wake()
   }
@@ -156,7 +158,7 @@
     void peer.run()
   }
 
-  /** Only an entry of the own term is committed by counting; earlier ones are with it. */
+  /** Only entries of the current term are committed by counting replicas; earlier entries are committed with them. */
   #advanceCommit(): void {
     if (this.ended.aborted) return
     const { log } = this.replica
@@ -179,7 +181,7 @@
         if (!this.ended.aborted) await log.flush(limits.batchBytes)
       })
     } catch (thrown) {
-      // Entries that went to peers may still become committed.
+      // With peers, the proposals stay pending: entries that were sent to them may still be committed.
       if (this.#peers.size === 0) {
         this.#proposals.rejectAfter(log.writtenIndex, toNettlespurError(thrown))
       }
@@ -197,7 +199,8 @@
       const nowMs = clock.monotonicMs()
       const lastAnswerMs = this.pickQuorum(nowMs, (progress) => progress.lastAnswerMs)
       const isSilent = nowMs - lastAnswerMs > electionTimeoutMs
-      // A process that stood still looks at its timers before it reads the answers that came meanwhile.
+      // Two checks in a row are needed: after a pause of the process, timers run before the answers that came in the
+      // meantime are read.
       const isLost = isSilent && wasSilent
       wasSilent = isSilent
       if (isOver() || !isLost) continue
--- a/consensus/raft/src/member.ts
+++ b/consensus/raft/src/member.ts
@@ -1,6 +1,6 @@
 /**
- * Who takes part in agreement. Voters count for elections and commits; every other member is a learner,
- * which only receives the log.
+ * The members of the Raft group. Voters count for elections and commits; every other member is a learner, which only
+ * receives the log.
  */
 import { addressSchema, identifierSchema } from '@nettlespur/api.schemas'
 import { z } from 'zod'
@@ -9,7 +9,7 @@
   memberId: identifierSchema,
   peerAddress: addressSchema,
   dataCentre: identifierSchema,
-  /** The disk this member counts with; absent until it is learned. */
+  /** ID of the disk that this member's votes and answers must come from; absent until the leader has learned it. */
   diskId: z.string().optional(),
 })
 export type Member = z.infer<typeof memberSchema>
@@ -17,9 +17,9 @@
 export const membershipSchema = z.strictObject({
   members: z.array(memberSchema),
   voters: z.array(identifierSchema),
-  /** The former voters while a change is under way: both majorities count. */
+  /** The old voters during joint consensus, which needs a majority of both the old and the new voters. */
   outgoing: z.array(identifierSchema).optional(),
-  /** Members that are gone once the change is done. */
+  /** Members that are removed when joint consensus ends. */
   removing: z.array(identifierSchema).optional(),
 })
 export type Membership = z.infer<typeof membershipSchema>
@@ -28,12 +28,15 @@
   return membership.members.find((member) => member.memberId === memberId)
 }
 
-/** Whether the member's vote counts, in the present or the former voters. */
+/** Whether the member is among the new or, during joint consensus, the old voters. */
 export function isVoter({ voters, outgoing }: Membership, memberId: string): boolean {
   return voters.includes(memberId) || outgoing?.includes(memberId) === true
 }
 
-/** A member on another disk than the known one has lost what it promised, so it does not count. */
+/**
+ * Whether `diskId` is the member's recorded disk, or none is recorded. On any other disk the member has lost its votes
+ * and acknowledged entries, so its answers must not count.
+ */
 export function acceptsDisk(
   membership: Membership,
   memberId: string,
@@ -44,8 +47,8 @@
 }
 
 /**
- * Whether the member votes before and after any change that is under way. One that is about to become a
- * voter makes no loss good yet: until the change is done the former voters have to agree as well.
+ * Whether the member is in both the old and the new set of voters. During joint consensus a new voter does not make up
+ * for the loss of an old one yet, as a majority of the old voters is still needed.
  */
 export function isVoterInBothSets({ voters, outgoing }: Membership, memberId: string): boolean {
   return voters.includes(memberId) && (outgoing ?? voters).includes(memberId)
--- a/consensus/raft/src/membershipHistory.ts
+++ b/consensus/raft/src/membershipHistory.ts
@@ -1,4 +1,7 @@
-/** The memberships of the log: the newest one counts, committed or not, and a truncation takes it back. */
+/**
+ * The membership entries of the log. The newest one is in force as soon as it is appended, committed or not; truncating
+ * the log reverts to the one before.
+ */
 import type { LogEntry } from '@nettlespur/storage.log'
 import { decodePayload, holdsMembership } from './entryPayload.js'
 import type { Membership } from './member.js'
@@ -19,7 +22,7 @@
     return this.#last.membership
   }
 
-  /** Where the latest one stands in the log; 0 where it comes from the settings. */
+  /** Log index of the latest membership; 0 if it is the initial one from the options. */
   get latestIndex(): number {
     return this.#last.index
   }
@@ -29,7 +32,7 @@
     return (this.#records.findLast((record) => record.index <= index) ?? this.#first).membership
   }
 
-  /** Takes note of an entry of the log. */
+  /** Records `entry` if it holds a membership; ignores other entries. */
   recordEntry(entry: LogEntry): void {
     if (!holdsMembership(entry.payload)) return
     const content = decodePayload(entry.payload)
@@ -42,7 +45,7 @@
     if (kept.length > 0) this.#records = kept
   }
 
-  /** Forgets what came before a snapshot at `index`. */
+  /** Drops the memberships before a snapshot at `index`, except the one in force there. */
   compact(index: number): void {
     const first = { index, membership: this.at(index) }
     this.#records = [first, ...this.#records.filter((record) => record.index > index)]
--- a/consensus/raft/src/membershipManager.ts
+++ b/consensus/raft/src/membershipManager.ts
@@ -1,6 +1,6 @@
 /**
- * Changes the membership, one change at a time. A change of voters goes through a joint entry, under which
- * both majorities count; any later leader finishes it.
+ * Changes the membership, one change at a time. A change of voters goes through joint consensus, which needs a majority
+ * of both the old and the new voters; if the leader changes meanwhile, the next leader completes it.
  */
 import { waitFor } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -19,7 +19,7 @@
     this.#leader = leader
   }
 
-  /** One task for as long as the leadership lasts. */
+  /** Runs until the leadership ends: completes joint changes and starts automatic ones. */
   async run(): Promise<void> {
     const { replica, ended } = this.#leader
     const { heartbeatMs } = replica.opts.timings
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Adds a learner. Resolves once that is committed. Errors: rejects with `membership-refused`, `no-quorum`. */
+  /** Adds a learner. Resolves once that is committed. Errors: rejects with `membership-refused`, `outcome-unknown`. */
   async add(member: Member): Promise<void> {
     const { membership } = this.#leader.replica
     const known = findMember(membership, member.memberId)
@@ -45,7 +45,10 @@
     await this.#change({ ...membership, members }, `${member.memberId} was added`)
   }
 
-  /** Removes a member, and where it was a voter puts a ready learner in its place. Errors: as `add`, `unknown-member`. */
+  /**
+   * Removes a member and, if it was a voter, promotes a ready learner if there is one. Errors: as `add`,
+   * `unknown-member`.
+   */
   async remove(memberId: string): Promise<void> {
     const { membership } = this.#leader.replica
     if (findMember(membership, memberId) === undefined) {
@@ -65,7 +68,7 @@
   async #change(next: Membership, reason: string): Promise<void> {
     if (!this.#tryCompleteChange()) throw refuseChange('another change is under way', 500)
     if (!this.#hasReadyQuorum(next)) {
-      throw refuseChange('the voters left would be no quorum, as too few of them answer', 500)
+      throw refuseChange('too few of the resulting voters are ready to form a quorum', 500)
     }
     this.#start(next, reason)
     const { replica, ended: signal } = this.#leader
@@ -75,6 +78,10 @@
     if (!done) throw new NettlespurError('outcome-unknown', 'the change is not committed yet')
   }
 
+  /**
+   * Ends joint consensus if the joint membership is committed. Returns true if no change is in progress: the latest
+   * membership and this leadership's first entry are committed, and the membership is not joint.
+   */
   #tryCompleteChange(): boolean {
     const { memberships, commitIndex } = this.#leader.replica
     const committed =
@@ -126,7 +133,7 @@
     }
   }
 
-  /** A change that cannot be committed would block every later one. */
+  /** Whether ready members form a quorum of `next`. A change that cannot be committed would block every later one. */
   #hasReadyQuorum(next: Membership): boolean {
     const { memberId: ownId } = this.#leader.replica
     return hasQuorum(next, (memberId) => memberId === ownId || this.#getFacts(memberId).ready)
--- a/consensus/raft/src/messages.ts
+++ b/consensus/raft/src/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What members send each other. Every answer carries the term and the disk of who gives it. A message with a field that
- * this version does not know is refused: without it, it would say something else.
+ * The messages between members. Every answer carries the term and the disk ID of the member that answers. A message
+ * with an unknown field is rejected, since ignoring the field could change what the message means.
  */
 import { countSchema, identifierSchema } from '@nettlespur/api.schemas'
 import { z } from 'zod'
@@ -14,9 +14,9 @@
   diskId: z.string(),
   lastIndex: countSchema,
   lastTerm: countSchema,
-  /** Only asks whether a vote would be given; nobody's term changes. */
+  /** A pre-vote: asks whether the vote would be granted, without changing any term. */
   preVote: z.boolean(),
-  /** The leader itself asked for this election. */
+  /** Whether the leader asked for this election, to transfer its leadership. */
   transfer: z.boolean(),
 })
 export type VoteRequest = z.infer<typeof voteRequestSchema>
@@ -26,7 +26,7 @@
 
 export const sentEntrySchema = z.strictObject({ term: countSchema, payload: bytesSchema })
 
-/** Entries that follow `prevIndex`; none of them is a heartbeat. */
+/** Carries the entries after `prevIndex`; without entries it is a heartbeat. */
 export const appendRequestSchema = z.strictObject({
   term: countSchema,
   leaderId: identifierSchema,
@@ -40,12 +40,15 @@
 export const appendAnswerSchema = z.strictObject({
   ...answerShape,
   accepted: z.boolean(),
-  /** Accepted: the last index known to equal the leader's, synced. Refused: where the logs may still be equal. */
+  /**
+   * If accepted: the last index that matches the leader's log and is synced. If not: an index up to which it may
+   * match.
+   */
   matchIndex: countSchema,
 })
 export type AppendAnswer = z.infer<typeof appendAnswerSchema>
 
-/** One piece of a snapshot. */
+/** Carries one chunk of a snapshot. */
 export const installRequestSchema = z.strictObject({
   term: countSchema,
   leaderId: identifierSchema,
@@ -60,9 +63,9 @@
 
 export const installAnswerSchema = z.strictObject({
   ...answerShape,
-  /** The bytes held so far: where the next piece begins. */
+  /** Number of bytes received so far, which is the offset of the next chunk. */
   nextOffset: countSchema,
-  /** The state now stands at the snapshot or after it. */
+  /** Whether the member holds the snapshot's state or a later one. */
   installed: z.boolean(),
 })
 export type InstallAnswer = z.infer<typeof installAnswerSchema>
--- a/consensus/raft/src/peerProgress.ts
+++ b/consensus/raft/src/peerProgress.ts
@@ -1,18 +1,18 @@
-/** How far the leader knows one peer to be. */
+/** Replication progress of one peer, as its leader knows it. */
 import type { AppendAnswer } from './messages.js'
 
 export class PeerProgress {
   /** The next entry to send. */
   nextIndex: number
-  /** The last entry the peer is known to hold synced. */
+  /** The last index that the peer is known to have synced. */
   matchIndex = 0
-  /** The disk it last answered from. */
+  /** ID of the disk that the peer last answered from; undefined before its first answer. */
   diskId: string | undefined
-  /** When its last answer came. */
+  /** When the peer's last answer arrived; before the first answer, when replication to it started. */
   lastAnswerMs: number
-  /** When the newest request that it answered was sent. */
+  /** When the newest answered request was sent. */
   ackedSentMs = -Infinity
-  /** The number of that request. */
+  /** The sequence number of that request. */
   ackedSequence = 0
 
   constructor(nextIndex: number, nowMs: number) {
@@ -20,7 +20,7 @@
     this.lastAnswerMs = nowMs
   }
 
-  /** What an older disk held says nothing of a new one. */
+  /** Resets `matchIndex` if the peer answers from another disk, which need not hold the same entries. */
   recordAnswer(diskId: string, sent: { sequence: number; sentMs: number }, nowMs: number): void {
     if (this.diskId !== undefined && this.diskId !== diskId) this.matchIndex = 0
     this.diskId = diskId
--- a/consensus/raft/src/peerReplicator.ts
+++ b/consensus/raft/src/peerReplicator.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's task for one peer: one request at a time, with the entries the peer still lacks, a piece of
- * a snapshot where the log no longer reaches back to them, or nothing as a heartbeat.
+ * The leader's replication task for one peer. Sends one request at a time: the entries the peer lacks, a chunk of a
+ * snapshot if the log has been compacted past them, or no entries as a heartbeat.
  */
 import { findMember } from './member.js'
 import { PeerProgress } from './peerProgress.js'
@@ -14,9 +14,9 @@
   replica: Replica<R>
   term: number
   peerId: string
-  /** Numbers the requests of this leadership. */
+  /** Returns the next sequence number of this leadership's requests, counted over all peers. */
   allocateSequence: () => number
-  /** Called after each answer of this term. */
+  /** Called after each answer that is recorded. */
   onAnswer: () => void
 }
 
@@ -41,7 +41,7 @@
     this.#snapshots = new SnapshotSender(opts.replica)
   }
 
-  /** There is something to send. */
+  /** Ends the wait for the next heartbeat, so that the next request is sent now. */
   wake(): void {
     this.#wake.notify()
   }
@@ -94,7 +94,7 @@
     const prevIndex = nextIndex - 1
     const prevTerm = log.termAt(prevIndex)
     const follows = read.length === 0 || read[0]?.index === nextIndex
-    // The log may have been compacted, and the leadership may have ended, while it was read.
+    // During the read the log may have been compacted, or the leadership may have ended.
     if (this.#stopping.signal.aborted || prevTerm === undefined || !follows) return false
     const entries = read.map((entry) => ({ term: entry.term, payload: entry.payload }))
     const base = { term, leaderId, prevIndex, prevTerm, entries }
@@ -128,7 +128,7 @@
     return { sequence: allocateSequence(), sentMs: this.#sentMs }
   }
 
-  /** False for an answer that is not of this leadership. */
+  /** Returns false, without recording, if the answer has a higher term or this task was stopped. */
   async #recordAnswer(answer: { term: number; diskId: string }, sent: Sent): Promise<boolean> {
     const { replica, term } = this.#opts
     if (answer.term > term) {
@@ -142,7 +142,7 @@
 
   get #member() {
     const member = findMember(this.#opts.replica.membership, this.#opts.peerId)
-    if (member === undefined) throw new Error(`${this.#opts.peerId} is no member`)
+    if (member === undefined) throw new Error(`${this.#opts.peerId} is not a member`)
     return member
   }
 }
--- a/consensus/raft/src/pickMembershipChange.ts
+++ b/consensus/raft/src/pickMembershipChange.ts
@@ -1,14 +1,13 @@
 /**
- * What the leader changes by itself, one step at a time: it learns disks, takes out a voter whose disk was
- * lost, swaps a silent voter for a learner that stands ready, and makes learners voters while there are too
- * few.
+ * Picks the next membership change that the leader makes automatically: record a member's disk, remove a voter that
+ * lost its disk, replace a silent voter with a ready learner, or promote learners while there are too few voters.
  */
 import type { Member, Membership } from './member.js'
 
 /** What the leader knows of one member. */
 export interface MemberFacts {
   readonly diskId: string | undefined
-  /** It holds, synced, all but the newest entries, and answers. */
+  /** Whether it has synced all but the newest entries, has answered recently, and answers from its recorded disk. */
   readonly ready: boolean
   readonly silentMs: number
 }
@@ -20,26 +19,28 @@
   replaceVoterAfterMs: number
 }
 
-/** The next membership, and what for: the reason goes into the log. */
+/** The next membership, and the reason for its log line. */
 export interface MembershipChange {
   readonly membership: Membership
   readonly reason: string
 }
 
-/** Undefined where nothing is to be done. */
+/** Returns undefined if no change is needed. */
 export function pickMembershipChange(
   opts: PickMembershipChangeOptions,
 ): MembershipChange | undefined {
   return pickDiskUpdate(opts) ?? pickReplacement(opts) ?? pickPromotion(opts)
 }
 
-/** Voters wanted among this many members: odd numbers, as an even one withstands no more losses. */
+/** Returns the target number of voters, always odd: one more voter would not let the group survive another loss. */
 export function countWantedVoters(members: number): number {
   if (members < 3) return 1
   return members < 5 ? 3 : 5
 }
 
-/** A voter's disk is never exchanged: its former promises would then count for the new one. */
+/**
+ * Never replaces a voter's recorded disk: its votes and acknowledgements on the old disk would count for the new one.
+ */
 function pickDiskUpdate(opts: PickMembershipChangeOptions): MembershipChange | undefined {
   const { membership, leaderId, getFacts } = opts
   const update = (member: Member): Member => {
@@ -90,7 +91,10 @@
   return { membership: { ...membership, voters }, reason: 'learners became voters' }
 }
 
-/** First those whose data centre has the fewest voters, so that none comes to hold a majority. */
+/**
+ * Returns the learners that are ready. Those whose data centre has the fewest voters come first, so that no data centre
+ * comes to hold a majority.
+ */
 function listReadyLearners(
   { membership, getFacts }: PickMembershipChangeOptions,
   voters: readonly string[],
--- a/consensus/raft/src/poll.ts
+++ b/consensus/raft/src/poll.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the voters for their votes. A vote counts only from the disk that the membership knows. While the
- * log is empty every voter must agree: an empty log cannot tell a new cluster from lost disks, and a voter
- * that holds entries refuses.
+ * Requests votes from the voters. A vote counts only if it comes from the disk that the membership records. A candidate
+ * with an empty log needs every vote: an empty log may mean a new cluster or lost disks, and a voter that holds entries
+ * refuses.
  */
 import { waitFor } from '@nettlespur/core.clock'
 import { BehaviorSubject } from 'rxjs'
@@ -10,7 +10,10 @@
 import { hasQuorum } from './quorum.js'
 import type { Replica } from './replica.js'
 
-/** The disks of the members that agreed, by member; undefined where they are no quorum. */
+/**
+ * Returns the disk ID of each member that granted its vote, by member ID. Returns undefined if too few did within an
+ * election timeout.
+ */
 export async function pollVoters<R>(
   replica: Replica<R>,
   request: VoteRequest,
--- a/consensus/raft/src/proposals.ts
+++ b/consensus/raft/src/proposals.ts
@@ -1,6 +1,6 @@
 /**
- * The proposals made here that wait for their outcome. One outlives the leadership it was made in for a
- * while: what becomes committed at its index tells whether it took effect.
+ * The proposals made on this member whose outcome is pending. A proposal is kept for a while after its leadership ends:
+ * the entry that is committed at its index shows whether it took effect.
  */
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { LogEntry } from '@nettlespur/storage.log'
@@ -21,7 +21,7 @@
   wait({ index, term }: LogEntry): Promise<R> {
     this.#waiting
       .get(index)
-      ?.reject(createUnknown('another entry took its place before its commit'))
+      ?.reject(createUnknown('another entry replaced it before it was committed'))
     return new Promise<R>((resolve, reject) => {
       this.#waiting.set(index, { term, resolve, reject })
     })
@@ -35,27 +35,27 @@
     else waiting.reject(createReplaced())
   }
 
-  /** An entry that is no proposal was committed there. */
+  /** Rejects the proposal at `index`, where an entry that is not a command was committed. */
   rejectDisplaced(index: number): void {
     this.#settle((at) => at === index, createReplaced())
   }
 
-  /** A snapshot does not tell which entries it stands for. */
+  /** Rejects the proposals up to `index` as unknown: a snapshot does not show which entries it includes. */
   rejectUpTo(index: number): void {
-    this.#settle((at) => at <= index, createUnknown('a snapshot took the place of the entry'))
+    this.#settle((at) => at <= index, createUnknown('a snapshot replaced the entry'))
   }
 
-  /** Settles those of terms before `term`. */
+  /** Rejects the proposals of terms before `term`. */
   rejectBeforeTerm(term: number, error: NettlespurError): void {
     this.#settle((_, waiting) => waiting.term < term, error)
   }
 
-  /** Settles those whose entries are not on this disk and were sent nowhere else. */
+  /** Rejects the proposals after `index`. The caller ensures that no member has their entries on disk. */
   rejectAfter(index: number, error: NettlespurError): void {
     this.#settle((at) => at > index, error)
   }
 
-  /** Settles all that wait. */
+  /** Rejects all pending proposals. */
   close(error: NettlespurError): void {
     this.#settle(() => true, error)
   }
@@ -76,5 +76,8 @@
 }
 
 function createReplaced(): NettlespurError {
-  return new NettlespurError('not-leader', 'another leader took over before the change counted')
+  return new NettlespurError(
+    'not-leader',
+    'another leader took over before the change was committed',
+  )
 }
--- a/consensus/raft/src/quorum.ts
+++ b/consensus/raft/src/quorum.ts
@@ -1,12 +1,12 @@
-/** Majorities, over the former voters too while a membership change is under way. */
+/** Quorums: a majority of the voters and, during joint consensus, a majority of the old voters too. */
 import type { Membership } from './member.js'
 
-/** Whether the members that `agrees` form a quorum. */
+/** Whether the members for which `agrees` returns true form a quorum. */
 export function hasQuorum(membership: Membership, agrees: (memberId: string) => boolean): boolean {
   return pickQuorumValue(membership, (memberId) => Number(agrees(memberId))) === 1
 }
 
-/** The highest value that a quorum has reached. */
+/** Returns the highest value that every member of some quorum has reached. */
 export function pickQuorumValue(
   { voters, outgoing }: Membership,
   valueOf: (memberId: string) => number,
--- a/consensus/raft/src/raftNode.ts
+++ b/consensus/raft/src/raftNode.ts
@@ -1,6 +1,6 @@
 /**
- * One member of the agreement. It runs a task for elections, one for applying, and while it leads one for
- * each peer; the transport of the others calls its `handle…` methods.
+ * One member of a Raft group. It runs a task for elections, one that applies entries and, while it leads, one per peer.
+ * Requests of other members are passed to its `handle…` methods.
  */
 import { NettlespurError, toNettlespurError, tryAsync } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
@@ -30,7 +30,7 @@
 import { transferLeadership } from './transferLeadership.js'
 import { handleVoteRequest } from './voteHandler.js'
 
-/** Election timeouts after which a proposal of a former leadership is given up as unknown. */
+/** Election timeouts after the end of a leadership until its pending proposals are rejected as `outcome-unknown`. */
 const unknownOutcomeTimeouts = 3
 const scanBytes = 1_048_576
 
@@ -60,7 +60,7 @@
     })
   }
 
-  /** Restores the snapshot and starts. Errors: rejects as the store and the state machine do. */
+  /** Restores the state from the snapshot and starts. Errors: rejects as the store and the state machine do. */
   static async open<R>(opts: RaftOptions<R>): Promise<RaftNode<R>> {
     const node = new RaftNode(opts)
     await node.#restore()
@@ -68,14 +68,14 @@
     return node
   }
 
-  /** The present value at once, then each change. */
+  /** Emits the current value on subscription, then each change. */
   get leadership(): Observable<LeadershipState> {
     return this.#replica.leadership
   }
 
   /**
-   * The member that leads, as far as this one knows; a cheap look beside `describe`. A leader that has been silent for
-   * an election timeout is not named: while no majority can elect, its followers would name it on and on.
+   * The leader as far as this member knows; cheaper than `describe`. Undefined if the leader has been silent for an
+   * election timeout: while no majority can elect another, its followers would otherwise name it indefinitely.
    */
   get leader(): Member | undefined {
     const { leadership, membership, role, hasRecentLeader } = this.#replica
@@ -85,8 +85,9 @@
   }
 
   /**
-   * This instance is a member for good, or a leader of now takes it for one. An addition that was never
-   * committed leaves it in its own log alone: newcomers that took that for granted stayed outside for ever.
+   * Whether this instance is in the committed membership, or in the latest one while a leader is heard. An uncommitted
+   * entry that adds this instance does not suffice: it may exist only in its own log, and an instance that trusted it
+   * would never be added.
    */
   get isMember(): boolean {
     const { memberships, membership, commitIndex, memberId, hasRecentLeader } = this.#replica
@@ -95,14 +96,14 @@
     return findMember(committed, memberId) !== undefined || hasRecentLeader
   }
 
-  /** Index of the newest applied entry, from now on. */
+  /** Emits the index of the newest applied entry on subscription, then each change. */
   get applied(): Observable<number> {
     return this.#replica.appliedIndex
   }
 
   /**
-   * Resolves once the command is committed and applied here. Errors: `not-leader` and `no-quorum` where it
-   * is certain that it never takes effect, `disk-full` where this is the only member, `outcome-unknown`.
+   * Resolves once the command is committed and applied on this member. Errors: `not-leader` and `no-quorum` if the
+   * command certainly never takes effect, `disk-full` if this is the only member, `outcome-unknown`.
    */
   propose(command: Buffer): EitherAsync<NettlespurError, R> {
     return tryAsync(() => {
@@ -115,7 +116,7 @@
     })
   }
 
-  /** Resolves once the state holds all that was committed before the call. Errors: `not-leader`, `no-quorum`. */
+  /** Resolves once every entry committed before the call is applied here. Errors: `not-leader`, `no-quorum`. */
   readBarrier(): EitherAsync<NettlespurError, void> {
     return tryAsync(async () => confirmLeadership(this.#requireLeading().leader))
   }
@@ -130,7 +131,7 @@
     return tryAsync(async () => this.#requireLeading().membershipManager.remove(memberId))
   }
 
-  /** True where this instance led and leads no more. */
+  /** Hands the leadership to another voter. Returns true if this instance led and no longer does. */
   async transferLeadership(): Promise<boolean> {
     const leading = this.#leading
     return leading === undefined ? false : transferLeadership(leading.leader)
@@ -157,11 +158,11 @@
     return Promise.resolve()
   }
 
-  /** Ends all tasks; what waits is told that its outcome is unknown. The store is left to its owner. */
+  /** Ends all tasks and rejects pending proposals with `outcome-unknown`. The caller closes the store. */
   async stop(): Promise<void> {
     this.#stopping.abort()
     this.#replica.becomeFollower(undefined)
-    this.#proposals.close(createUnknown('this instance stops'))
+    this.#proposals.close(createUnknown('this instance is stopping'))
     await this.#tasks
     await this.#replica.exclusive(() => Promise.resolve()).catch(() => undefined)
   }
--- a/consensus/raft/src/raftOptions.ts
+++ b/consensus/raft/src/raftOptions.ts
@@ -1,4 +1,4 @@
-/** What a Raft node is made of. */
+/** Options of a Raft node. */
 import type { NettlespurError } from '@nettlespur/core.errors'
 import type { Clock } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
@@ -9,24 +9,24 @@
 
 export interface RaftTimings {
   readonly heartbeatMs: number
-  /** The shortest silence of a leader after which others may be elected; the longest is half as long again. */
+  /** Minimum time without a leader before an election; the maximum is 1.5 times as long. */
   readonly electionTimeoutMs: number
-  /** A voter silent for this long is replaced where a learner stands ready. */
+  /** A voter that has been silent for longer is replaced if a learner is ready. */
   readonly replaceVoterAfterMs: number
-  /** The shortest time between two requests to one peer: what comes meanwhile goes together. Default: 0. */
+  /** Minimum time between two requests to one peer; entries added meanwhile are batched. Default: 0. */
   readonly requestGapMs?: number
 }
 
 export interface RaftLimits {
-  /** Payload bytes of one append to a follower, and of one sync of the leader. */
+  /** Maximum payload bytes of one append request and of one write of the leader; a larger single entry still fits. */
   readonly batchBytes: number
-  /** Proposals that may wait for their commit. */
+  /** Maximum number of proposals that wait for their outcome. */
   readonly waitingProposals: number
-  /** Entries applied since the last snapshot before the next one is taken. */
+  /** A snapshot is taken once this many entries were applied since the last one. */
   readonly snapshotEveryEntries: number
-  /** Bytes applied since the last snapshot before the next one is taken. */
+  /** A snapshot is taken once this many payload bytes were applied since the last one. */
   readonly snapshotEveryBytes: number
-  /** Entries kept behind a snapshot for followers that are a little late. */
+  /** Entries kept in the log before a snapshot, so that slightly lagging followers need no snapshot. */
   readonly keepEntries: number
   readonly snapshotChunkBytes: number
 }
@@ -42,7 +42,7 @@
 
 export interface RaftOptions<R> {
   memberId: string
-  /** The first voters; used only while the log says nothing of members. */
+  /** The initial voters; used only while neither the log nor a snapshot holds a membership. */
   initialMembers: readonly Member[]
   clock: Clock
   logger: Logger
@@ -52,11 +52,11 @@
   timings: RaftTimings
   limits?: Partial<RaftLimits>
   /**
-   * Whether a read may rest on the time since a quorum last answered; true by default. To be false where the
-   * monotonic clock stands still while the instance is suspended: a former leader would trust its lease then.
+   * Whether the leader may answer reads under a lease; true by default. Must be false if the monotonic clock stops
+   * while the instance is suspended: after resuming, a former leader would still trust its expired lease.
    */
   leaseReads?: boolean
-  /** Told when this member takes part no more: only a new start finds out what its disk holds. */
+  /** Called when a fault disables this member until a restart, which reads again what its disk holds. */
   onFault?: (fault: NettlespurError) => void
   /** A number in [0, 1); Math.random by default. */
   random?: () => number
--- a/consensus/raft/src/raftTransport.ts
+++ b/consensus/raft/src/raftTransport.ts
@@ -1,6 +1,6 @@
 /**
- * Carries messages to one member at a time. A call without an answer rejects early enough for another one
- * before an election timeout has passed, and is not made again on the connection that kept silent.
+ * Sends messages to other members. A call that gets no answer must reject early enough for another call to be made
+ * within the same election timeout, and that call must not use the unresponsive connection.
  */
 import type { Member } from './member.js'
 import type {
--- a/consensus/raft/src/readStoredJson.ts
+++ b/consensus/raft/src/readStoredJson.ts
@@ -1,15 +1,15 @@
-/** Commands and snapshots that a state machine keeps as JSON, checked when they are read back. */
+/** Parses stored JSON, such as commands and snapshots, and validates it against a schema. */
 import { NettlespurError } from '@nettlespur/core.errors'
 import type { z } from 'zod'
 
-/** `what` names it in the error. Errors: throws `storage-damaged`. */
+/** `what` names the data in the error. Errors: throws `storage-damaged` if the bytes are invalid. */
 export function readStoredJson<T>(schema: z.ZodType<T>, bytes: Buffer, what: string): T {
   const parsed = schema.safeParse(parseJson(bytes))
   if (parsed.success) return parsed.data
   throw new NettlespurError('storage-damaged', `${what} cannot be read: ${parsed.error.message}`)
 }
 
-/** Undefined where the bytes are no JSON, which no schema of a record allows. */
+/** Returns undefined, which no schema of stored data accepts, if the bytes are not JSON. */
 function parseJson(bytes: Buffer): unknown {
   try {
     return JSON.parse(bytes.toString('utf8')) as unknown
--- a/consensus/raft/src/replica.ts
+++ b/consensus/raft/src/replica.ts
@@ -1,6 +1,6 @@
 /**
- * What one member knows, shared by its tasks. Whatever writes to the store runs through `exclusive`, one
- * after the other, and looks again at what it relies on once it is its turn.
+ * The Raft state of one member, shared by its tasks. Every write to the store runs through `exclusive`, one at a time,
+ * and must check its preconditions again once it runs.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import { toNettlespurError, type NettlespurError } from '@nettlespur/core.errors'
@@ -29,13 +29,13 @@
   readonly leadership: BehaviorSubject<LeadershipState>
   readonly commitIndex: BehaviorSubject<number>
   readonly appliedIndex: BehaviorSubject<number>
-  /** When a leader was last heard; a start counts, since what was heard before it is forgotten. */
+  /** When a leader was last heard. Starts at the start time, as it is unknown when one was heard before a restart. */
   heardLeaderMs: number
-  /** When the present wait for an election began. */
+  /** When the current election timeout began. */
   electionResetMs: number
-  /** Why this member takes part no more. */
+  /** The error that disabled this member until a restart; undefined while it takes part. */
   fault: NettlespurError | undefined
-  /** Since its start this member has heard a leader, or led. */
+  /** Whether this member has heard a leader, or led, since its start. */
   #hasKnownLeader = false
   readonly #queue = new ExclusiveQueue()
 
@@ -84,29 +84,29 @@
     return this.memberships.latest
   }
 
-  /** Whether this member may be elected, on the disk it has. */
+  /** Whether this member may become leader: it is a voter, on its recorded disk, without a fault. */
   get canBeElected(): boolean {
     const known = this.membership.members.find(({ memberId }) => memberId === this.memberId)
     const sameDisk = known?.diskId === undefined || known.diskId === this.diskId
     return this.fault === undefined && sameDisk && isVoter(this.membership, this.memberId)
   }
 
-  /** A leader was heard within an election timeout. */
+  /** Whether a leader was heard, or this member started, within the last election timeout. */
   get hasRecentLeader(): boolean {
     const { clock, timings } = this.opts
     return clock.monotonicMs() - this.heardLeaderMs < timings.electionTimeoutMs
   }
 
   /**
-   * No leader has been heard since the start, and none can rest on what this member promised before it: reads are
-   * confirmed by a quorum. Such members elect within a few heartbeats: after a loss of power of all five a leader stands
-   * soon after the last of a majority has opened its log, in place of a whole election timeout later.
+   * Whether this member may elect without waiting for an election timeout: it has heard no leader since its start, and
+   * with `leaseReads` off no leader relies on a lease this member gave before its restart. After a power loss of all
+   * five members, a leader is elected within a few heartbeats of the last member of a majority opening its log.
    */
   get canElectEarly(): boolean {
     return this.opts.leaseReads === false && !this.#hasKnownLeader
   }
 
-  /** Whether it refuses its vote, since a leader may be alive. */
+  /** Whether this member refuses votes, except in a leadership transfer, because a leader may be alive. */
   get shouldRefuseVotes(): boolean {
     return this.role === 'leader' || (this.hasRecentLeader && !this.canElectEarly)
   }
@@ -115,7 +115,10 @@
     return (this.opts.random ?? Math.random)()
   }
 
-  /** Runs `task` alone. Errors: the fault, once a write has failed for good. */
+  /**
+   * Runs `task` once all earlier tasks have ended. Any error of `task` counts as a failed write: unless it is
+   * `disk-full`, it disables this member. Errors: rejects with the error of `task`, or with `fault` if that is set.
+   */
   exclusive<T>(task: () => Promise<T>): Promise<T> {
     return this.#queue.run(async () => {
       if (this.fault !== undefined) throw this.fault
@@ -129,7 +132,7 @@
     })
   }
 
-  /** Within `exclusive`: takes a higher term, and with it gives its vote where one is named. */
+  /** Stores a higher term, with this member's vote if `votedFor` is given. Must run within `exclusive`. */
   async adoptTerm(term: number, votedFor?: string): Promise<void> {
     this.becomeFollower(undefined)
     await this.#resolveUnwrittenEntries()
@@ -137,7 +140,7 @@
     this.becomeFollower(undefined)
   }
 
-  /** An answer showed a higher term. */
+  /** Adopts the term of an answer if it is higher; a leader steps down at once. */
   async noticeTerm(term: number): Promise<void> {
     if (term <= this.term) return
     if (this.role === 'leader') this.becomeFollower(undefined)
@@ -171,8 +174,9 @@
   }
 
   /**
-   * What a former leadership sent out before it was written here. The followers may have committed it without
-   * this disk: that part is written now, as new leaders take it for held here; the rest is forgotten.
+   * Handles the entries that this member replicated as leader but has not written to its own disk. Followers may have
+   * committed them without it: those up to the commit index are written now, as new leaders assume that this member
+   * holds them; the others are dropped.
    */
   async #resolveUnwrittenEntries(): Promise<void> {
     const { log, limits, commitIndex } = this
--- a/consensus/raft/src/slowReadLogger.ts
+++ b/consensus/raft/src/slowReadLogger.ts
@@ -1,12 +1,12 @@
 /**
- * Tells which reads of a leader were confirmed slowly or refused, in which step, and which voters were silent.
- * A burst of reads waits on the same answers: it leaves one line a second, which counts the others.
+ * Logs reads whose confirmation was slow or refused, with the step that caused it and the voters that were silent. At
+ * most one line a second is written, with the count of those left out, as many reads can wait for the same answers.
  */
 import type { Leader } from './leader.js'
 
 const lineEveryMs = 1000
 
-/** What a read waits on, in this order. */
+/** The steps that a read waits for, in this order. */
 export type ReadStep = 'commit' | 'quorum' | 'apply'
 
 export interface ReadReport {
@@ -40,7 +40,7 @@
     this.#unwritten = 0
   }
 
-  /** `MEMBER:MILLISECONDS` since its last answer, for each voter that missed two heartbeats. */
+  /** Lists each voter that has not answered for two heartbeats, as `MEMBER:MILLISECONDS` since its last answer. */
   #listSilent(nowMs: number): string[] {
     const { replica } = this.#leader
     const { voters, outgoing } = replica.membership
--- a/consensus/raft/src/snapshotMembership.ts
+++ b/consensus/raft/src/snapshotMembership.ts
@@ -1,4 +1,4 @@
-/** What agreement keeps beside a snapshot: the membership, and when the snapshot was taken. */
+/** What Raft stores with a snapshot of the state machine: the membership, and when the snapshot was taken. */
 import { z } from 'zod'
 import { membershipSchema } from './member.js'
 
--- a/consensus/raft/src/snapshotReceiver.ts
+++ b/consensus/raft/src/snapshotReceiver.ts
@@ -1,6 +1,6 @@
 /**
- * Takes a snapshot piece by piece. What came stays until another snapshot begins, so that a transfer goes
- * on where it was cut off.
+ * Receives a snapshot in chunks and installs it. The chunks are kept until another snapshot begins, so that an
+ * interrupted transfer resumes where it stopped.
  */
 import { acceptLeader } from './appendHandler.js'
 import type { InstallAnswer, InstallRequest } from './messages.js'
@@ -38,7 +38,10 @@
     })
   }
 
-  /** A log that holds the snapshot's last entry keeps what follows it: that may have been acknowledged. */
+  /**
+   * Returns true, without a need to install, if the snapshot's last entry is committed or held here; advances the
+   * commit index to it. The log keeps the entries after it, as they may have been acknowledged.
+   */
   async #commitIfHeld({ snapshotIndex, snapshotTerm }: InstallRequest): Promise<boolean> {
     const { log, commitIndex } = this.#replica
     if (snapshotIndex <= commitIndex.value) return true
--- a/consensus/raft/src/snapshotSender.ts
+++ b/consensus/raft/src/snapshotSender.ts
@@ -1,4 +1,4 @@
-/** Sends a snapshot to one peer in pieces, going on where the peer says it stands. */
+/** Cuts the newest snapshot into chunks for one peer, and continues at the offset that the peer reports. */
 import type { Snapshot } from '@nettlespur/storage.log'
 import type { InstallAnswer, InstallRequest } from './messages.js'
 import type { Replica } from './replica.js'
@@ -12,7 +12,7 @@
     this.#replica = replica
   }
 
-  /** The next piece; undefined where there is no snapshot. */
+  /** Returns the next chunk, or undefined if there is no snapshot. */
   async createPiece(term: number): Promise<InstallRequest | undefined> {
     const { opts, limits, memberId } = this.#replica
     if (this.#snapshot?.meta.index !== opts.store.snapshotMeta.index) {
--- a/consensus/raft/src/transferLeadership.ts
+++ b/consensus/raft/src/transferLeadership.ts
@@ -1,16 +1,18 @@
 /**
- * Hands the leadership to a voter before a planned stop: to the one that is furthest on, and to the next one
- * where that does not take it.
+ * Transfers the leadership to another voter before a planned stop: to the most up-to-date one, or to the next if that
+ * one does not take over.
  */
 import { waitFor, type Clock } from '@nettlespur/core.clock'
 import { startWith } from 'rxjs'
 import type { Leader } from './leader.js'
 import { isVoter, type Member } from './member.js'
 
-/** In election timeouts: one to hear of a voter that could lead, one until that is elected. */
+/** Limit in election timeouts: one to find a voter that can lead, one until it is elected. */
 const handOverTimeouts = 2
 
-/** True once this instance leads no more. Until then, or until it gives up, nothing new is taken. */
+/**
+ * Returns whether this instance no longer leads. New proposals are rejected until the transfer succeeds or gives up.
+ */
 export async function transferLeadership<R>(leader: Leader<R>): Promise<boolean> {
   if (listOthers(leader).length === 0) return false
   leader.isTransferring = true
@@ -55,8 +57,9 @@
   }
 
   /**
-   * Right after an election nobody has answered yet. A leader that does not wait for a first answer leaves the
-   * group without one for an election timeout and more.
+   * Waits for a voter that can lead, as right after an election none has answered yet. A leader that stopped without
+   * waiting would leave the group without a leader for at least an election timeout. Returns undefined if there is
+   * none.
    */
   async #awaitTarget(): Promise<Member | undefined> {
     if (this.#listUntried().length === 0) return undefined
@@ -100,14 +103,14 @@
     return waitFor(this.#clock, leadership, leadsNoMore, { timeoutMs: this.#limitMs() })
   }
 
-  /** Looks again after each answer of a peer. */
+  /** Waits until `passes` returns true, checked now and after each answer of a peer. Returns false on timeout. */
   #waitForAnswer(passes: () => boolean): Promise<boolean> {
     const answers = this.#leader.answers.pipe(startWith(undefined))
     const { ended: signal } = this.#leader
     return waitFor(this.#clock, answers, passes, { timeoutMs: this.#limitMs(), signal })
   }
 
-  /** How long one step may wait. */
+  /** Returns the time that one step may wait: an election timeout, or what is left for the whole transfer. */
   #limitMs(): number {
     const leftMs = Math.max(0, this.#endMs - this.#clock.monotonicMs())
     return Math.min(this.#timeoutMs, leftMs)
--- a/consensus/raft/src/voteHandler.ts
+++ b/consensus/raft/src/voteHandler.ts
@@ -1,4 +1,4 @@
-/** Answers to candidates. A vote is on disk before it is told. */
+/** Handles vote requests. A vote is written to disk before it is answered. */
 import { acceptsDisk, findMember } from './member.js'
 import type { VoteAnswer, VoteRequest } from './messages.js'
 import type { Replica } from './replica.js'
@@ -14,8 +14,9 @@
 }
 
 /**
- * Who hears a leader refuses to unseat it, without taking the candidate's term; the leader itself refuses
- * too. A candidate on another disk than the known one has lost entries it had acknowledged.
+ * Whether the request is considered at all; otherwise it is refused without adopting the candidate's term. A member
+ * that leads or has recently heard a leader refuses, except in a leadership transfer. A candidate on another disk than
+ * its recorded one is refused, as it has lost entries it had acknowledged.
  */
 function canConsiderVote<R>(replica: Replica<R>, request: VoteRequest): boolean {
   const { membership } = replica
