--- a/consensus/raft/src/appendHandler.ts
+++ b/consensus/raft/src/appendHandler.ts
@@ -1,4 +1,4 @@
-/** Takes a leader's entries. What is acknowledged is synced. */
+/** Handles AppendEntries requests. Entries are synced to disk before they are acknowledged. */
 import { NettlespurError, toNettlespurError } from '@nettlespur/core.errors'
 import type { LogEntry } from '@nettlespur/storage.log'
 import { checkEntry } from './entryPayload.js'
@@ -6,8 +6,8 @@
 import type { Replica } from './replica.js'
 
 /**
- * Errors: rejects with `storage-damaged` for an entry that cannot be read, and takes none of the request. That is
- * thrown outside the turn, where it would count as a fault of the store and end this member's part for good.
+ * Errors: rejects with `storage-damaged` if an entry cannot be decoded; no entry of the request is then stored. The
+ * error is thrown outside `exclusive`, which would treat it as a failed write and permanently disable this member.
  */
 export async function handleAppend<R>(
   replica: Replica<R>,
@@ -24,27 +24,33 @@
 ): Promise<AppendAnswer | NettlespurError> {
   if (!(await acceptLeader(replica, request))) return createAnswer(replica, false, 0)
   const unreadable = findUnreadable(request)
-  if (unreadable === undefined) return takeAccepted(replica, request)
+  if (unreadable === undefined) return appendFromLeader(replica, request)
   const { kind, message: reason } = unreadable
   const { logger } = replica.opts
   logger.error({ event: 'raft.entries-refused', leaderId: request.leaderId, kind, reason })
   return unreadable
 }
 
-async function takeAccepted<R>(replica: Replica<R>, request: AppendRequest): Promise<AppendAnswer> {
+async function appendFromLeader<R>(
+  replica: Replica<R>,
+  request: AppendRequest,
+): Promise<AppendAnswer> {
   const { prevIndex, prevTerm, entries } = request
   const ownTerm = replica.log.termAt(prevIndex)
   const behindSnapshot = prevIndex < replica.opts.store.snapshotMeta.index
   if (!behindSnapshot && ownTerm !== prevTerm) {
-    return createAnswer(replica, false, findCommonBound(replica, prevIndex, ownTerm))
+    return createAnswer(replica, false, findLastPossibleMatch(replica, prevIndex, ownTerm))
   }
   await takeEntries(replica, request)
   const matchIndex = prevIndex + entries.length
-  replica.commitTo(Math.min(request.commitIndex, matchIndex))
+  replica.advanceCommitIndex(Math.min(request.commitIndex, matchIndex))
   return createAnswer(replica, true, matchIndex)
 }
 
-/** Before any entry is stored: one that cannot be read would stop every member once it is committed. */
+/**
+ * Checks all entries before any is stored: an entry that cannot be decoded would stop every member once it is
+ * committed. Returns undefined if all can be decoded.
+ */
 function findUnreadable({ prevIndex, entries }: AppendRequest): NettlespurError | undefined {
   try {
     entries.forEach((entry, offset) => {
@@ -56,25 +62,31 @@
   }
 }
 
-/** Within `exclusive`: whether the sender leads, which also holds back an election here. */
+/**
+ * Returns whether the sender is the leader of the current term, after adopting a higher term. If so, also resets the
+ * election timeout of this member. Must run within `exclusive`.
+ */
 export async function acceptLeader<R>(
   replica: Replica<R>,
   { term, leaderId }: { term: number; leaderId: string },
 ): Promise<boolean> {
   if (term < replica.term) return false
   if (term > replica.term) await replica.adoptTerm(term)
-  replica.hearLeader(leaderId)
+  replica.recordLeaderContact(leaderId)
   return true
 }
 
-/** Entries that are held already stay untouched: a late request must not cut what a newer one brought. */
+/**
+ * Stores the entries this log does not hold yet, and first truncates a conflicting tail. Entries held already are not
+ * truncated: a delayed request must not remove entries that a newer one appended.
+ */
 async function takeEntries<R>(
   replica: Replica<R>,
   { prevIndex, entries }: AppendRequest,
 ): Promise<void> {
   const { log, memberships, commitIndex } = replica
   const sent = entries.map((entry, offset) => ({ ...entry, index: prevIndex + 1 + offset }))
-  // What was committed may be gone from here: a leader whose disk was full never wrote it.
+  // The log may end before the commit index: a leader whose disk was full never wrote some committed entries.
   const heldIndex = Math.min(commitIndex.value, log.lastIndex)
   const known = (entry: LogEntry): boolean =>
     entry.index <= heldIndex || log.termAt(entry.index) === entry.term
@@ -87,11 +99,11 @@
     await log.truncateFrom(firstIndex)
   }
   await log.append(fresh)
-  for (const entry of fresh) memberships.note(entry)
+  for (const entry of fresh) memberships.recordEntry(entry)
 }
 
-/** An index below which the logs may be equal: steps over the whole term that differs. */
-function findCommonBound<R>(
+/** Returns the highest index at which the logs may still match: skips all entries of the conflicting term at once. */
+function findLastPossibleMatch<R>(
   { log, commitIndex }: Replica<R>,
   prevIndex: number,
   ownTerm: number | undefined,
--- a/consensus/raft/src/index.ts
+++ b/consensus/raft/src/index.ts
@@ -1,4 +1,4 @@
-/** Agreement between control instances by Raft. */
+/** Raft consensus between control instances. */
 export type { MemberDescription, NodeDescription } from './describeNode.js'
 export { memberSchema, membershipSchema, type Member, type Membership } from './member.js'
 export * from './messages.js'
@@ -6,5 +6,5 @@
 export type { RaftLimits, RaftOptions, RaftTimings } from './raftOptions.js'
 export { RaftTransport } from './raftTransport.js'
 export { readStoredJson } from './readStoredJson.js'
-export type { RaftRole, Standing } from './replica.js'
+export type { RaftRole, LeadershipState } from './replica.js'
 export { StateMachine } from './stateMachine.js'
--- a/consensus/raft/src/membershipKeeper.ts
+++ b/consensus/raft/src/membershipManager.ts
@@ -1,6 +1,6 @@
 /**
- * Changes the membership, one change at a time. A change of voters goes through a joint entry, under which
- * both majorities count; any later leader finishes it.
+ * Changes the membership, one change at a time. A change of voters goes through joint consensus, which needs a majority
+ * of both the old and the new voters; if the leader changes meanwhile, the next leader completes it.
  */
 import { waitFor } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -12,25 +12,25 @@
 const readyLagEntries = 64
 const readySilenceTimeouts = 1
 
-export class MembershipKeeper<R> {
+export class MembershipManager<R> {
   readonly #leader: Leader<R>
 
   constructor(leader: Leader<R>) {
     this.#leader = leader
   }
 
-  /** One task for as long as the leadership lasts. */
+  /** Runs until the leadership ends: completes joint changes and starts automatic ones. */
   async run(): Promise<void> {
     const { replica, ended } = this.#leader
     const { heartbeatMs } = replica.opts.timings
     const isOver = (): boolean => ended.aborted
     while (!isOver()) {
       await replica.clock.sleep(heartbeatMs, ended)
-      if (!isOver() && this.#isSettled()) this.#step()
+      if (!isOver() && this.#tryCompleteChange()) this.#startAutomaticChange()
     }
   }
 
-  /** Adds a learner. Resolves once that is committed. Errors: rejects with `membership-refused`, `no-quorum`. */
+  /** Adds a learner. Resolves once that is committed. Errors: rejects with `membership-refused`, `outcome-unknown`. */
   async add(member: Member): Promise<void> {
     const { membership } = this.#leader.replica
     const known = findMember(membership, member.memberId)
@@ -45,7 +45,10 @@
     await this.#change({ ...membership, members }, `${member.memberId} was added`)
   }
 
-  /** Removes a member, and where it was a voter puts a ready learner in its place. Errors: as `add`, `unknown-member`. */
+  /**
+   * Removes a member and, if it was a voter, promotes a ready learner if there is one. Errors: as `add`,
+   * `unknown-member`.
+   */
   async remove(memberId: string): Promise<void> {
     const { membership } = this.#leader.replica
     if (findMember(membership, memberId) === undefined) {
@@ -63,19 +66,23 @@
   }
 
   async #change(next: Membership, reason: string): Promise<void> {
-    if (!this.#isSettled()) throw refuseChange('another change is under way', 500)
-    if (!this.#answersAsQuorum(next)) {
-      throw refuseChange('the voters left would be no quorum, as too few of them answer', 500)
+    if (!this.#tryCompleteChange()) throw refuseChange('another change is under way', 500)
+    if (!this.#hasReadyQuorum(next)) {
+      throw refuseChange('too few of the resulting voters are ready to form a quorum', 500)
     }
     this.#start(next, reason)
     const { replica, ended: signal } = this.#leader
     const timeoutMs = replica.opts.timings.electionTimeoutMs * 2
-    const isDone = (): boolean => this.#isSettled()
+    const isDone = (): boolean => this.#tryCompleteChange()
     const done = await waitFor(replica.clock, replica.commitIndex, isDone, { timeoutMs, signal })
     if (!done) throw new NettlespurError('outcome-unknown', 'the change is not committed yet')
   }
 
-  #isSettled(): boolean {
+  /**
+   * Ends joint consensus if the joint membership is committed. Returns true if no change is in progress: the latest
+   * membership and this leadership's first entry are committed, and the membership is not joint.
+   */
+  #tryCompleteChange(): boolean {
     const { memberships, commitIndex } = this.#leader.replica
     const committed =
       commitIndex.value >= Math.max(memberships.latestIndex, this.#leader.firstIndex)
@@ -109,7 +116,7 @@
     this.#leader.pushMembership({ members: left, voters }, 'the change of voters is done')
   }
 
-  #step(): void {
+  #startAutomaticChange(): void {
     const { replica } = this.#leader
     if (!replica.membership.voters.includes(replica.memberId)) {
       replica.becomeFollower(undefined)
@@ -121,13 +128,13 @@
       getFacts: (memberId) => this.#getFacts(memberId),
       replaceVoterAfterMs: replica.opts.timings.replaceVoterAfterMs,
     })
-    if (next !== undefined && this.#answersAsQuorum(next.membership)) {
+    if (next !== undefined && this.#hasReadyQuorum(next.membership)) {
       this.#start(next.membership, next.reason)
     }
   }
 
-  /** A change that cannot be committed would block every later one. */
-  #answersAsQuorum(next: Membership): boolean {
+  /** Whether ready members form a quorum of `next`. A change that cannot be committed would block every later one. */
+  #hasReadyQuorum(next: Membership): boolean {
     const { memberId: ownId } = this.#leader.replica
     return hasQuorum(next, (memberId) => memberId === ownId || this.#getFacts(memberId).ready)
   }
@@ -137,10 +144,11 @@
     const { commitIndex, clock, opts } = replica
     const progress = this.#leader.getProgress(memberId)
     if (progress === undefined) return { diskId: undefined, ready: false, silentMs: 0 }
-    const silentMs = clock.monotonicMs() - progress.heardMs
+    const silentMs = clock.monotonicMs() - progress.lastAnswerMs
     const caughtUp = progress.matchIndex + readyLagEntries >= commitIndex.value
     const answers = silentMs < opts.timings.electionTimeoutMs * readySilenceTimeouts
-    const ready = progress.matchIndex > 0 && caughtUp && answers && this.#leader.counts(memberId)
+    const ready =
+      progress.matchIndex > 0 && caughtUp && answers && this.#leader.hasMatchingDisk(memberId)
     return { diskId: progress.diskId, ready, silentMs }
   }
 }
--- a/consensus/raft/src/peerReplicator.ts
+++ b/consensus/raft/src/peerReplicator.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's task for one peer: one request at a time, with the entries the peer still lacks, a piece of
- * a snapshot where the log no longer reaches back to them, or nothing as a heartbeat.
+ * The leader's replication task for one peer. Sends one request at a time: the entries the peer lacks, a chunk of a
+ * snapshot if the log has been compacted past them, or no entries as a heartbeat.
  */
 import { findMember } from './member.js'
 import { PeerProgress } from './peerProgress.js'
@@ -14,9 +14,9 @@
   replica: Replica<R>
   term: number
   peerId: string
-  /** Numbers the requests of this leadership. */
-  countRequest: () => number
-  /** Called after each answer of this term. */
+  /** Returns the next sequence number of this leadership's requests, counted over all peers. */
+  allocateSequence: () => number
+  /** Called after each answer that is recorded. */
   onAnswer: () => void
 }
 
@@ -41,7 +41,7 @@
     this.#snapshots = new SnapshotSender(opts.replica)
   }
 
-  /** There is something to send. */
+  /** Ends the wait for the next heartbeat, so that the next request is sent now. */
   wake(): void {
     this.#wake.notify()
   }
@@ -55,14 +55,14 @@
     const { heartbeatMs } = opts.timings
     const { signal } = this.#stopping
     while (!signal.aborted) {
-      await this.#keepGap()
+      await this.#waitForRequestGap()
       const answered = await this.#tryExchange()
       if (!answered) await clock.sleep(heartbeatMs * this.#pickRetryShare(), signal)
       else if (!this.#hasMore()) await this.#wake.wait(clock, heartbeatMs, signal)
     }
   }
 
-  async #keepGap(): Promise<void> {
+  async #waitForRequestGap(): Promise<void> {
     const { clock, opts } = this.#opts.replica
     const leftMs = this.#sentMs + (opts.timings.requestGapMs ?? 0) - clock.monotonicMs()
     if (leftMs > 0) await clock.sleep(leftMs, this.#stopping.signal)
@@ -94,7 +94,7 @@
     const prevIndex = nextIndex - 1
     const prevTerm = log.termAt(prevIndex)
     const follows = read.length === 0 || read[0]?.index === nextIndex
-    // The log may have been compacted, and the leadership may have ended, while it was read.
+    // During the read the log may have been compacted, or the leadership may have ended.
     if (this.#stopping.signal.aborted || prevTerm === undefined || !follows) return false
     const entries = read.map((entry) => ({ term: entry.term, payload: entry.payload }))
     const base = { term, leaderId, prevIndex, prevTerm, entries }
@@ -102,8 +102,8 @@
     const sent = this.#startRequest()
     const { transport } = replica.opts
     const answer = await transport.appendEntries(this.#member, request)
-    if (!(await this.#hear(answer, sent))) return false
-    this.progress.take(answer)
+    if (!(await this.#recordAnswer(answer, sent))) return false
+    this.progress.applyAppendAnswer(answer)
     this.#opts.onAnswer()
     return true
   }
@@ -115,34 +115,34 @@
     const sent = this.#startRequest()
     const { transport } = replica.opts
     const answer = await transport.installSnapshot(this.#member, request)
-    if (!(await this.#hear(answer, sent))) return false
-    this.#snapshots.take(answer)
+    if (!(await this.#recordAnswer(answer, sent))) return false
+    this.#snapshots.recordAnswer(answer)
     if (answer.installed) this.progress.installed(request.snapshotIndex)
     this.#opts.onAnswer()
     return true
   }
 
   #startRequest(): Sent {
-    const { replica, countRequest } = this.#opts
+    const { replica, allocateSequence } = this.#opts
     this.#sentMs = replica.clock.monotonicMs()
-    return { sequence: countRequest(), sentMs: this.#sentMs }
+    return { sequence: allocateSequence(), sentMs: this.#sentMs }
   }
 
-  /** False for an answer that is not of this leadership. */
-  async #hear(answer: { term: number; diskId: string }, sent: Sent): Promise<boolean> {
+  /** Returns false, without recording, if the answer has a higher term or this task was stopped. */
+  async #recordAnswer(answer: { term: number; diskId: string }, sent: Sent): Promise<boolean> {
     const { replica, term } = this.#opts
     if (answer.term > term) {
       await replica.noticeTerm(answer.term)
       return false
     }
     if (this.#stopping.signal.aborted) return false
-    this.progress.hear(answer.diskId, sent, replica.clock.monotonicMs())
+    this.progress.recordAnswer(answer.diskId, sent, replica.clock.monotonicMs())
     return true
   }
 
   get #member() {
     const member = findMember(this.#opts.replica.membership, this.#opts.peerId)
-    if (member === undefined) throw new Error(`${this.#opts.peerId} is no member`)
+    if (member === undefined) throw new Error(`${this.#opts.peerId} is not a member`)
     return member
   }
 }
--- a/consensus/raft/src/raftNode.ts
+++ b/consensus/raft/src/raftNode.ts
@@ -1,6 +1,6 @@
 /**
- * One member of the agreement. It runs a task for elections, one for applying, and while it leads one for
- * each peer; the transport of the others calls its `handle…` methods.
+ * One member of a Raft group. It runs a task for elections, one that applies entries and, while it leads, one per peer.
+ * Requests of other members are passed to its `handle…` methods.
  */
 import { NettlespurError, toNettlespurError, tryAsync } from '@nettlespur/core.errors'
 import type { EitherAsync } from 'purify-ts'
@@ -13,7 +13,7 @@
 import { encodeCommand } from './entryPayload.js'
 import { createNoQuorum, Leader } from './leader.js'
 import { findMember, type Member } from './member.js'
-import { MembershipKeeper } from './membershipKeeper.js'
+import { MembershipManager } from './membershipManager.js'
 import type {
   AppendAnswer,
   AppendRequest,
@@ -25,18 +25,18 @@
 } from './messages.js'
 import { createUnknown, Proposals } from './proposals.js'
 import type { RaftOptions } from './raftOptions.js'
-import { Replica, type Standing } from './replica.js'
+import { Replica, type LeadershipState } from './replica.js'
 import { SnapshotReceiver } from './snapshotReceiver.js'
 import { transferLeadership } from './transferLeadership.js'
 import { handleVoteRequest } from './voteHandler.js'
 
-/** Election timeouts after which a proposal of a former leadership is given up as unknown. */
-const patienceTimeouts = 3
+/** Election timeouts after the end of a leadership until its pending proposals are rejected as `outcome-unknown`. */
+const unknownOutcomeTimeouts = 3
 const scanBytes = 1_048_576
 
 interface Leading<R> {
   readonly leader: Leader<R>
-  readonly keeper: MembershipKeeper<R>
+  readonly membershipManager: MembershipManager<R>
 }
 
 export class RaftNode<R> {
@@ -60,7 +60,7 @@
     })
   }
 
-  /** Restores the snapshot and starts. Errors: rejects as the store and the state machine do. */
+  /** Restores the state from the snapshot and starts. Errors: rejects as the store and the state machine do. */
   static async open<R>(opts: RaftOptions<R>): Promise<RaftNode<R>> {
     const node = new RaftNode(opts)
     await node.#restore()
@@ -68,46 +68,47 @@
     return node
   }
 
-  /** The present value at once, then each change. */
-  get standing(): Observable<Standing> {
-    return this.#replica.standing
+  /** Emits the current value on subscription, then each change. */
+  get leadership(): Observable<LeadershipState> {
+    return this.#replica.leadership
   }
 
   /**
-   * The member that leads, as far as this one knows; a cheap look beside `describe`. A leader that has been silent for
-   * an election timeout is not named: while no majority can elect, its followers would name it on and on.
+   * The leader as far as this member knows; cheaper than `describe`. Undefined if the leader has been silent for an
+   * election timeout: while no majority can elect another, its followers would otherwise name it indefinitely.
    */
   get leader(): Member | undefined {
-    const { standing, membership, role, hearsLeader } = this.#replica
-    const { leaderId } = standing.value
-    if (role !== 'leader' && !hearsLeader) return undefined
+    const { leadership, membership, role, hasRecentLeader } = this.#replica
+    const { leaderId } = leadership.value
+    if (role !== 'leader' && !hasRecentLeader) return undefined
     return leaderId === undefined ? undefined : findMember(membership, leaderId)
   }
 
   /**
-   * This instance is a member for good, or a leader of now takes it for one. An addition that was never
-   * committed leaves it in its own log alone: newcomers that took that for granted stayed outside for ever.
+   * Whether this instance is in the committed membership, or in the latest one while a leader is heard. An uncommitted
+   * entry that adds this instance does not suffice: it may exist only in its own log, and an instance that trusted it
+   * would never be added.
    */
   get isMember(): boolean {
-    const { memberships, membership, commitIndex, memberId, hearsLeader } = this.#replica
+    const { memberships, membership, commitIndex, memberId, hasRecentLeader } = this.#replica
     const committed = memberships.at(commitIndex.value)
     if (findMember(membership, memberId) === undefined) return false
-    return findMember(committed, memberId) !== undefined || hearsLeader
+    return findMember(committed, memberId) !== undefined || hasRecentLeader
   }
 
-  /** Index of the newest applied entry, from now on. */
+  /** Emits the index of the newest applied entry on subscription, then each change. */
   get applied(): Observable<number> {
     return this.#replica.appliedIndex
   }
 
   /**
-   * Resolves once the command is committed and applied here. Errors: `not-leader` and `no-quorum` where it
-   * is certain that it never takes effect, `disk-full` where this is the only member, `outcome-unknown`.
+   * Resolves once the command is committed and applied on this member. Errors: `not-leader` and `no-quorum` if the
+   * command certainly never takes effect, `disk-full` if this is the only member, `outcome-unknown`.
    */
   propose(command: Buffer): EitherAsync<NettlespurError, R> {
     return tryAsync(() => {
       const { leader } = this.#requireLeading()
-      if (leader.transferring) throw createNotLeader('the leadership is being handed over')
+      if (leader.isTransferring) throw createNotLeader('the leadership is being handed over')
       if (this.#proposals.size >= this.#replica.limits.waitingProposals) {
         throw createNoQuorum('too many changes wait for their commit')
       }
@@ -115,22 +116,22 @@
     })
   }
 
-  /** Resolves once the state holds all that was committed before the call. Errors: `not-leader`, `no-quorum`. */
+  /** Resolves once every entry committed before the call is applied here. Errors: `not-leader`, `no-quorum`. */
   readBarrier(): EitherAsync<NettlespurError, void> {
     return tryAsync(async () => confirmLeadership(this.#requireLeading().leader))
   }
 
   /** Errors: `membership-refused`, `outcome-unknown`, `not-leader`. */
   addMember(member: Member): EitherAsync<NettlespurError, void> {
-    return tryAsync(async () => this.#requireLeading().keeper.add(member))
+    return tryAsync(async () => this.#requireLeading().membershipManager.add(member))
   }
 
   /** Errors: as `addMember`, and `unknown-member`. */
   removeMember(memberId: string): EitherAsync<NettlespurError, void> {
-    return tryAsync(async () => this.#requireLeading().keeper.remove(memberId))
+    return tryAsync(async () => this.#requireLeading().membershipManager.remove(memberId))
   }
 
-  /** True where this instance led and leads no more. */
+  /** Hands the leadership to another voter. Returns true if this instance led and no longer does. */
   async transferLeadership(): Promise<boolean> {
     const leading = this.#leading
     return leading === undefined ? false : transferLeadership(leading.leader)
@@ -153,15 +154,15 @@
   }
 
   handleTimeoutNow({ term }: TimeoutNowRequest): Promise<void> {
-    void this.#election.standNow(term, this.#stopping.signal)
+    void this.#election.campaignNow(term, this.#stopping.signal)
     return Promise.resolve()
   }
 
-  /** Ends all tasks; what waits is told that its outcome is unknown. The store is left to its owner. */
+  /** Ends all tasks and rejects pending proposals with `outcome-unknown`. The caller closes the store. */
   async stop(): Promise<void> {
     this.#stopping.abort()
     this.#replica.becomeFollower(undefined)
-    this.#proposals.close(createUnknown('this instance stops'))
+    this.#proposals.close(createUnknown('this instance is stopping'))
     await this.#tasks
     await this.#replica.exclusive(() => Promise.resolve()).catch(() => undefined)
   }
@@ -173,15 +174,15 @@
     let index = Math.max(opts.store.firstIndex, opts.store.snapshotMeta.index + 1)
     while (index <= log.lastIndex) {
       const entries = await log.read(index, scanBytes)
-      for (const entry of entries) memberships.note(entry)
+      for (const entry of entries) memberships.recordEntry(entry)
       index += Math.max(1, entries.length)
     }
   }
 
   #start(): void {
     const { signal } = this.#stopping
-    this.#replica.standing.subscribe((standing) => {
-      this.#follow(standing)
+    this.#replica.leadership.subscribe((leadership) => {
+      this.#follow(leadership)
     })
     this.#tasks = Promise.all([
       this.#election.run(signal),
@@ -197,22 +198,22 @@
 
   #lead(disks: ReadonlyMap<string, string>): void {
     const leader = new Leader(this.#replica, this.#proposals, disks)
-    const keeper = new MembershipKeeper(leader)
-    this.#leading = { leader, keeper }
-    this.#replica.stand('leader', this.#replica.memberId)
-    void keeper.run()
+    const membershipManager = new MembershipManager(leader)
+    this.#leading = { leader, membershipManager }
+    this.#replica.setRole('leader', this.#replica.memberId)
+    void membershipManager.run()
   }
 
-  #follow({ role, term, leaderId }: Standing): void {
+  #follow({ role, term, leaderId }: LeadershipState): void {
     const { opts, memberId, clock } = this.#replica
     opts.logger.info({ event: 'raft.standing', memberId, role, term, leaderId })
     const leading = this.#leading
     if (leading === undefined || role === 'leader') return
     this.#leading = undefined
     leading.leader.end()
-    const patienceMs = opts.timings.electionTimeoutMs * patienceTimeouts
+    const patienceMs = opts.timings.electionTimeoutMs * unknownOutcomeTimeouts
     void clock.sleep(patienceMs, this.#stopping.signal).then(() => {
-      this.#proposals.giveUp(leading.leader.term + 1, createUnknown('the leader changed'))
+      this.#proposals.rejectBeforeTerm(leading.leader.term + 1, createUnknown('the leader changed'))
     })
   }
 
--- a/consensus/raft/src/readWatch.ts
+++ b/consensus/raft/src/slowReadLogger.ts
@@ -1,21 +1,21 @@
 /**
- * Tells which reads of a leader were confirmed slowly or refused, in which step, and which voters were silent.
- * A burst of reads waits on the same answers: it leaves one line a second, which counts the others.
+ * Logs reads whose confirmation was slow or refused, with the step that caused it and the voters that were silent. At
+ * most one line a second is written, with the count of those left out, as many reads can wait for the same answers.
  */
 import type { Leader } from './leader.js'
 
 const lineEveryMs = 1000
 
-/** What a read waits on, in this order. */
+/** The steps that a read waits for, in this order. */
 export type ReadStep = 'commit' | 'quorum' | 'apply'
 
-export interface ReadEnd {
+export interface ReadReport {
   readonly outcome: 'slow' | 'refused'
   readonly step: ReadStep
   readonly tookMs: number
 }
 
-export class ReadWatch<R> {
+export class SlowReadLogger<R> {
   readonly #leader: Leader<R>
   #lineMs = -Infinity
   #unwritten = 0
@@ -24,7 +24,7 @@
     this.#leader = leader
   }
 
-  note({ outcome, step, tookMs }: ReadEnd): void {
+  note({ outcome, step, tookMs }: ReadReport): void {
     const { clock, opts } = this.#leader.replica
     const nowMs = clock.monotonicMs()
     if (nowMs - this.#lineMs < lineEveryMs) {
@@ -40,15 +40,21 @@
     this.#unwritten = 0
   }
 
-  /** `MEMBER:MILLISECONDS` since its last answer, for each voter that missed two heartbeats. */
+  /** Lists each voter that has not answered for two heartbeats, as `MEMBER:MILLISECONDS` since its last answer. */
   #listSilent(nowMs: number): string[] {
     const { replica } = this.#leader
     const { voters, outgoing } = replica.membership
     const quietMsMax = 2 * replica.opts.timings.heartbeatMs
     return [...new Set([...voters, ...(outgoing ?? [])])]
       .filter((memberId) => memberId !== replica.memberId)
-      .map((memberId) => ({ memberId, heardMs: this.#leader.getProgress(memberId)?.heardMs }))
-      .map(({ memberId, heardMs }) => ({ memberId, quietMs: nowMs - (heardMs ?? -Infinity) }))
+      .map((memberId) => ({
+        memberId,
+        lastAnswerMs: this.#leader.getProgress(memberId)?.lastAnswerMs,
+      }))
+      .map(({ memberId, lastAnswerMs }) => ({
+        memberId,
+        quietMs: nowMs - (lastAnswerMs ?? -Infinity),
+      }))
       .filter(({ quietMs }) => quietMs > quietMsMax)
       .map(({ memberId, quietMs }) => `${memberId}:${Math.round(quietMs)}`)
   }
--- a/consensus/raft/src/snapshotReceiver.ts
+++ b/consensus/raft/src/snapshotReceiver.ts
@@ -1,13 +1,13 @@
 /**
- * Takes a snapshot piece by piece. What came stays until another snapshot begins, so that a transfer goes
- * on where it was cut off.
+ * Receives a snapshot in chunks and installs it. The chunks are kept until another snapshot begins, so that an
+ * interrupted transfer resumes where it stopped.
  */
 import { acceptLeader } from './appendHandler.js'
 import type { InstallAnswer, InstallRequest } from './messages.js'
 import type { Replica } from './replica.js'
 import { snapshotMembershipSchema } from './snapshotMembership.js'
 
-interface Partial {
+interface PartialSnapshot {
   readonly index: number
   readonly term: number
   readonly totalBytes: number
@@ -18,7 +18,7 @@
 export class SnapshotReceiver<R> {
   readonly #replica: Replica<R>
   readonly #restore: (index: number, data: Buffer) => void
-  #partial: Partial | undefined
+  #partial: PartialSnapshot | undefined
 
   constructor(replica: Replica<R>, restore: (index: number, data: Buffer) => void) {
     this.#replica = replica
@@ -30,24 +30,33 @@
     return replica.exclusive(async () => {
       const leads = await acceptLeader(replica, request)
       if (!leads) return this.#answer(0, false)
-      if (await this.#stands(request)) return this.#answer(request.totalBytes, true)
-      const partial = this.#take(request)
+      if (await this.#commitIfHeld(request)) return this.#answer(request.totalBytes, true)
+      const partial = this.#addPiece(request)
       if (partial.bytes < partial.totalBytes) return this.#answer(partial.bytes, false)
       await this.#install(request, Buffer.concat(partial.pieces))
       return this.#answer(request.totalBytes, true)
     })
   }
 
-  /** A log that holds the snapshot's last entry keeps what follows it: that may have been acknowledged. */
-  async #stands({ snapshotIndex, snapshotTerm }: InstallRequest): Promise<boolean> {
+  /**
+   * Returns true, without a need to install, if the snapshot's last entry is committed or held here; advances the
+   * commit index to it. The log keeps the entries after it, as they may have been acknowledged.
+   */
+  async #commitIfHeld({ snapshotIndex, snapshotTerm }: InstallRequest): Promise<boolean> {
     const { log, commitIndex } = this.#replica
     if (snapshotIndex <= commitIndex.value) return true
     if (log.termAt(snapshotIndex) !== snapshotTerm) return false
-    this.#replica.commitTo(snapshotIndex)
+    this.#replica.advanceCommitIndex(snapshotIndex)
     return Promise.resolve(true)
   }
 
-  #take({ snapshotIndex, snapshotTerm, totalBytes, offset, data }: InstallRequest): Partial {
+  #addPiece({
+    snapshotIndex,
+    snapshotTerm,
+    totalBytes,
+    offset,
+    data,
+  }: InstallRequest): PartialSnapshot {
     let partial = this.#partial
     const same =
       partial?.index === snapshotIndex &&
--- a/consensus/raft/src/voteHandler.ts
+++ b/consensus/raft/src/voteHandler.ts
@@ -1,4 +1,4 @@
-/** Answers to candidates. A vote is on disk before it is told. */
+/** Handles vote requests. A vote is written to disk before it is answered. */
 import { acceptsDisk, findMember } from './member.js'
 import type { VoteAnswer, VoteRequest } from './messages.js'
 import type { Replica } from './replica.js'
@@ -8,25 +8,26 @@
   request: VoteRequest,
 ): Promise<VoteAnswer> {
   return replica.exclusive(async () => {
-    const granted = mayAnswer(replica, request) && (await decide(replica, request))
+    const granted = canConsiderVote(replica, request) && (await castVote(replica, request))
     return { term: replica.term, diskId: replica.diskId, granted }
   })
 }
 
 /**
- * Who hears a leader refuses to unseat it, without taking the candidate's term; the leader itself refuses
- * too. A candidate on another disk than the known one has lost entries it had acknowledged.
+ * Whether the request is considered at all; otherwise it is refused without adopting the candidate's term. A member
+ * that leads or has recently heard a leader refuses, except in a leadership transfer. A candidate on another disk than
+ * its recorded one is refused, as it has lost entries it had acknowledged.
  */
-function mayAnswer<R>(replica: Replica<R>, request: VoteRequest): boolean {
+function canConsiderVote<R>(replica: Replica<R>, request: VoteRequest): boolean {
   const { membership } = replica
   const { candidateId, diskId } = request
   if (findMember(membership, candidateId) !== undefined) {
     if (!acceptsDisk(membership, candidateId, diskId)) return false
   }
-  return request.transfer || !replica.holdsBackVotes
+  return request.transfer || !replica.shouldRefuseVotes
 }
 
-async function decide<R>(replica: Replica<R>, request: VoteRequest): Promise<boolean> {
+async function castVote<R>(replica: Replica<R>, request: VoteRequest): Promise<boolean> {
   const { term, candidateId, preVote } = request
   const upToDate = isUpToDate(replica, request)
   if (preVote) return term > replica.term && upToDate
