--- a/consensus/raft/__utils__/memoryLinks.ts
+++ b/consensus/raft/__utils__/memoryLinks.ts
@@ -13,8 +13,8 @@
   type VoteRequest,
 } from '../src/index.js'
 
-const longestDelayMs = 30
-const timeoutMs = 750
+const maxDelayMs = 30
+const callTimeoutMs = 750
 /** A late message takes this long, so that it comes after others that were sent later. */
 const lateDelayMs = 3000
 
@@ -25,13 +25,13 @@
   /** Share of messages lost. */
   lossShare = 0
   /** What waits for a node that is paused. */
-  readonly paused = new Map<string, (() => void)[]>()
+  readonly pausedDeliveries = new Map<string, (() => void)[]>()
   /** Pairs that do not reach each other, as `from to`. */
-  readonly cut = new Set<string>()
+  readonly cutLinks = new Set<string>()
   readonly #clock: Clock
   readonly #random: () => number
   /** Which side of a partition a node is on; all are on one side where it is empty. */
-  #sides = new Map<string, number>()
+  #partitionSides = new Map<string, number>()
 
   constructor(clock: Clock, random: () => number) {
     this.#clock = clock
@@ -40,18 +40,18 @@
 
   /** Nodes named here reach only each other. */
   partition(isolated: readonly string[]): void {
-    this.#sides = new Map(isolated.map((memberId) => [memberId, 1]))
+    this.#partitionSides = new Map(isolated.map((memberId) => [memberId, 1]))
   }
 
   /** Cuts the link between two nodes, both ways. */
   cutLink(one: string, other: string): void {
-    this.cut.add(`${one} ${other}`)
-    this.cut.add(`${other} ${one}`)
+    this.cutLinks.add(`${one} ${other}`)
+    this.cutLinks.add(`${other} ${one}`)
   }
 
   resume(memberId: string): void {
-    const waiting = this.paused.get(memberId) ?? []
-    this.paused.delete(memberId)
+    const waiting = this.pausedDeliveries.get(memberId) ?? []
+    this.pausedDeliveries.delete(memberId)
     for (const resume of waiting) resume()
   }
 
@@ -64,7 +64,7 @@
     to: string,
     deliver: (node: RaftNode<number>) => Promise<T>,
   ): Promise<T> {
-    return Promise.race([this.#exchange(from, to, deliver), this.#expire()])
+    return Promise.race([this.#exchange(from, to, deliver), this.#rejectAfterTimeout()])
   }
 
   async #exchange<T>(
@@ -72,33 +72,34 @@
     to: string,
     deliver: (node: RaftNode<number>) => Promise<T>,
   ): Promise<T> {
-    await this.#travel(from, to)
+    await this.#transmit(from, to)
     const node = this.nodes.get(to)
     if (node === undefined) throw new Error(`${to} is down`)
     const answer = await deliver(node)
-    await this.#travel(to, from)
+    await this.#transmit(to, from)
     return answer
   }
 
-  async #travel(from: string, to: string): Promise<void> {
+  async #transmit(from: string, to: string): Promise<void> {
     const late = this.#random() < this.lateShare ? lateDelayMs : 0
-    await this.#clock.sleep(this.#random() * longestDelayMs + late)
+    await this.#clock.sleep(this.#random() * maxDelayMs + late)
     await this.#waitWhilePaused(to)
     const cut =
-      this.cut.has(`${from} ${to}`) || (this.#sides.get(from) ?? 0) !== (this.#sides.get(to) ?? 0)
+      this.cutLinks.has(`${from} ${to}`) ||
+      (this.#partitionSides.get(from) ?? 0) !== (this.#partitionSides.get(to) ?? 0)
     if (cut || this.#random() < this.lossShare) await new Promise<never>(() => undefined)
   }
 
   async #waitWhilePaused(memberId: string): Promise<void> {
-    const waiting = this.paused.get(memberId)
+    const waiting = this.pausedDeliveries.get(memberId)
     if (waiting === undefined) return
     await new Promise<void>((resume) => {
       waiting.push(resume)
     })
   }
 
-  async #expire(): Promise<never> {
-    await this.#clock.sleep(timeoutMs)
+  async #rejectAfterTimeout(): Promise<never> {
+    await this.#clock.sleep(callTimeoutMs)
     throw new Error('no answer in time')
   }
 }
--- a/consensus/raft/__utils__/memoryLogStore.ts
+++ b/consensus/raft/__utils__/memoryLogStore.ts
@@ -10,7 +10,7 @@
 } from '@nettlespur/storage.log'
 import type { MemoryDisk } from './memoryDisk.js'
 
-const longestSyncMs = 8
+const maxSyncMs = 8
 /** A slow sync takes this long: a crash then loses what peers hold already. */
 const slowSyncMs = 500
 const neverMs = 1e12
@@ -23,7 +23,7 @@
   readonly #disk: MemoryDisk
   readonly #clock: Clock
   readonly #random: () => number
-  #writing: (() => void) | undefined
+  #pendingWrite: (() => void) | undefined
   #crashed = false
 
   constructor(disk: MemoryDisk, clock: Clock, random: () => number) {
@@ -121,15 +121,15 @@
   /** What is being written is lost, or reaches the disk without being told; nothing comes after it. */
   crash(): void {
     this.#crashed = true
-    if (this.#random() < 0.5) this.#writing?.()
+    if (this.#random() < 0.5) this.#pendingWrite?.()
   }
 
   async #write(change: () => void): Promise<void> {
-    this.#writing = change
+    this.#pendingWrite = change
     const slowMs = this.#random() < this.slowShare ? slowSyncMs : 0
-    await this.#clock.sleep(this.#random() * longestSyncMs + slowMs)
+    await this.#clock.sleep(this.#random() * maxSyncMs + slowMs)
     if (this.#crashed) await this.#clock.sleep(neverMs)
-    this.#writing = undefined
+    this.#pendingWrite = undefined
     change()
   }
 }
--- a/consensus/raft/__utils__/pausableClock.ts
+++ b/consensus/raft/__utils__/pausableClock.ts
@@ -3,7 +3,7 @@
 
 export class PausableClock implements Clock {
   readonly #clock: ManualClock
-  #held: (() => void)[] | undefined
+  #heldTimers: (() => void)[] | undefined
 
   constructor(clock: ManualClock) {
     this.#clock = clock
@@ -23,8 +23,8 @@
       const fire = (): void => {
         if (!cancelled) run()
       }
-      if (this.#held === undefined) fire()
-      else this.#held.push(fire)
+      if (this.#heldTimers === undefined) fire()
+      else this.#heldTimers.push(fire)
     })
     const cancel = (): void => {
       cancelled = true
@@ -38,12 +38,12 @@
   }
 
   pause(): void {
-    this.#held ??= []
+    this.#heldTimers ??= []
   }
 
   resume(): void {
-    const held = this.#held ?? []
-    this.#held = undefined
+    const held = this.#heldTimers ?? []
+    this.#heldTimers = undefined
     for (const fire of held) fire()
   }
 }
--- a/consensus/raft/__utils__/startLedCluster.ts
+++ b/consensus/raft/__utils__/startClusterWithLeader.ts
@@ -6,7 +6,7 @@
 const electedWithinMs = 10_000
 
 /** Errors: rejects where nobody leads by then. */
-export async function startLedCluster(t: ExecutionContext, opts: TestClusterOptions) {
+export async function startClusterWithLeader(t: ExecutionContext, opts: TestClusterOptions) {
   const cluster = await TestCluster.start(opts)
   t.teardown(() => cluster.close())
   await cluster.clock.advance(electedWithinMs)
--- a/consensus/raft/__utils__/testCluster.ts
+++ b/consensus/raft/__utils__/testCluster.ts
@@ -10,7 +10,7 @@
 import { RecordingMachine } from './recordingMachine.js'
 import { createSeededRandom } from './seededRandom.js'
 
-const certainRefusals = new Set(['not-leader', 'no-quorum'])
+const uncommittedErrorKinds = new Set(['not-leader', 'no-quorum'])
 const defaultTimings: RaftTimings = {
   heartbeatMs: 250,
   electionTimeoutMs: 1500,
@@ -42,8 +42,8 @@
   readonly acknowledged: string[] = []
   readonly refused: string[] = []
   /** Broken promises, in words. */
-  readonly faults: string[] = []
-  readonly lines: string[] = []
+  readonly violations: string[] = []
+  readonly logLines: string[] = []
   readonly running = new Map<string, RunningNode>()
   readonly #opts: TestClusterOptions
   readonly #random: () => number
@@ -96,7 +96,7 @@
       logger: createLogger({
         name: 'raft',
         instanceId: memberId,
-        write: (line) => this.lines.push(line),
+        write: (line) => this.logLines.push(line),
       }),
       store,
       transport: this.links.createTransport(memberId),
@@ -108,7 +108,7 @@
     })
     raft.standing.subscribe(({ role, term }) => {
       if (role !== 'leader') return
-      this.#noteLeader(term, memberId)
+      this.#checkSingleLeader(term, memberId)
       void this.read(memberId)
     })
     this.running.set(memberId, { raft, machine, store })
@@ -143,12 +143,12 @@
   /** A node whose timers and messages wait, as those of a stopped process do. */
   pauseNode(memberId: string): void {
     this.#getClock(memberId).pause()
-    this.links.paused.set(memberId, [])
+    this.links.pausedDeliveries.set(memberId, [])
   }
 
   /** `first` runs before anything that waited. */
-  resumeNode(memberId: string, first: () => void = () => undefined): void {
-    first()
+  resumeNode(memberId: string, runFirst: () => void = () => undefined): void {
+    runFirst()
     this.#getClock(memberId).resume()
     this.links.resume(memberId)
   }
@@ -160,7 +160,7 @@
     const command = `command ${this.#proposed++}`
     const outcome = await node.raft.propose(Buffer.from(command)).run()
     if (outcome.isRight()) this.acknowledged.push(command)
-    else if (certainRefusals.has(toNettlespurError(outcome.extract()).kind)) {
+    else if (uncommittedErrorKinds.has(toNettlespurError(outcome.extract()).kind)) {
       this.refused.push(command)
     }
   }
@@ -172,7 +172,8 @@
     const before = [...this.acknowledged]
     if ((await node.raft.readBarrier().run()).isLeft()) return
     const missing = before.filter((command) => !node.machine.applied.includes(command))
-    if (missing.length > 0) this.faults.push(`a read at ${memberId} lacks ${missing.join(', ')}`)
+    if (missing.length > 0)
+      this.violations.push(`a read at ${memberId} lacks ${missing.join(', ')}`)
   }
 
   async changeMembers(change: 'add' | 'remove', number: number): Promise<void> {
@@ -192,26 +193,26 @@
     for (const memberId of this.#started) await this.startNode(memberId)
     for (let second = 0; second < 60; second++) {
       await this.clock.advance(1000)
-      if (await this.#commitsOnAll()) return
+      if (await this.#tryToCommitOnAll()) return
     }
-    const stands = [...this.running].map(
+    const nodeStates = [...this.running].map(
       ([memberId, { raft, machine }]) =>
         `${memberId}: ${machine.applied.length} of ${this.history.length}, ${JSON.stringify(raft.describe())}`,
     )
-    this.faults.push(
-      `no progress after all faults ended:\n${stands.join('\n')}\n${this.lines.slice(-30).join('\n')}`,
+    this.violations.push(
+      `no progress after all faults ended:\n${nodeStates.join('\n')}\n${this.logLines.slice(-30).join('\n')}`,
     )
   }
 
   /** What an outside reader can check at the end. */
-  listFaults(): string[] {
+  listViolations(): string[] {
     const inHistory = new Set(this.history)
     const lost = this.acknowledged.filter((command) => !inHistory.has(command))
     const taken = this.refused.filter((command) => inHistory.has(command))
     const twice = this.history.length - inHistory.size
-    const failed = this.lines.filter((line) => /apply-failed|write-failed/.test(line))
+    const failed = this.logLines.filter((line) => /apply-failed|write-failed/.test(line))
     return [
-      ...this.faults,
+      ...this.violations,
       ...lost.map((command) => `lost: ${command}`),
       ...taken.map((command) => `refused, yet applied: ${command}`),
       ...(twice > 0 ? [`${twice} applied twice`] : []),
@@ -231,7 +232,7 @@
     return clock
   }
 
-  async #commitsOnAll(): Promise<boolean> {
+  async #tryToCommitOnAll(): Promise<boolean> {
     const { leader } = this
     if (leader === undefined) return false
     const outcome = { committed: false }
@@ -246,17 +247,17 @@
     await this.clock.advance(1500)
     void proposed
     const members = leader.describe().members.map(({ memberId }) => memberId)
-    const level = members.every((memberId) => {
+    const haveAllApplied = members.every((memberId) => {
       const applied = this.running.get(memberId)?.machine.applied.length
       return applied === this.history.length
     })
-    return outcome.committed && level
+    return outcome.committed && haveAllApplied
   }
 
-  #noteLeader(term: number, memberId: string): void {
+  #checkSingleLeader(term: number, memberId: string): void {
     const known = this.#leaders.get(term)
     if (known !== undefined && known !== memberId) {
-      this.faults.push(`term ${term} has two leaders: ${known} and ${memberId}`)
+      this.violations.push(`term ${term} has two leaders: ${known} and ${memberId}`)
     }
     this.#leaders.set(term, memberId)
   }
--- a/consensus/raft/test/applyLoop.test.ts
+++ b/consensus/raft/test/applyLoop.test.ts
@@ -12,7 +12,7 @@
 import { Replica } from '../src/replica.js'
 
 const timings = { heartbeatMs: 250, electionTimeoutMs: 1500, replaceVoterAfterMs: 20_000 }
-const lost = 3
+const missingEntries = 3
 /** Reads of the log in a second of waiting: one each heartbeat, and one for the commit. */
 const readsMax = 6
 
@@ -41,18 +41,18 @@
   })
   const ending = new AbortController()
   const running = new ApplyLoop(replica, new Proposals<number>()).run(ending.signal)
-  replica.commitTo(lost)
+  replica.commitTo(missingEntries)
   await clock.advance(1000)
   t.true(reads <= readsMax, `${reads} reads`)
   t.is(events.filter(({ event }) => event === 'raft.apply-waits').length, 1)
-  const entries = Array.from({ length: lost }, (_, at) => ({
+  const entries = Array.from({ length: missingEntries }, (_, at) => ({
     index: at + 1,
     term: 1,
     payload: encodeCommand(Buffer.from(`command ${at}`)),
   }))
   void replica.log.append(entries)
   await clock.advance(1000)
-  t.is(machine.applied.length, lost)
+  t.is(machine.applied.length, missingEntries)
   ending.abort()
   await clock.advance(1000)
   await running
--- a/consensus/raft/test/foreignMessages.test.ts
+++ b/consensus/raft/test/foreignMessages.test.ts
@@ -67,12 +67,12 @@
   const raft = cluster.running.get('c1')?.raft
   if (raft === undefined) return t.fail()
   const newer = Buffer.from(JSON.stringify({ ...membership, fieldOfNewerVersion: 1 }))
-  const foreign = [
+  const unreadablePayloads = [
     Buffer.from([9]),
     Buffer.from([2, 123]),
     Buffer.concat([Buffer.from([2]), newer]),
   ]
-  for (const payload of foreign) {
+  for (const payload of unreadablePayloads) {
     const entries = [command, payload].map((one) => ({ term: 1, payload: one }))
     const answered = raft.handleAppend({ ...append, term: 1, entries })
     const refused = t.throwsAsync(answered, { instanceOf: NettlespurError, message: /entry 2/ })
--- a/consensus/raft/test/freshElection.test.ts
+++ b/consensus/raft/test/freshElection.test.ts
@@ -7,13 +7,13 @@
 const stepMs = 50
 const seeds = Array.from({ length: 20 }, (_, at) => at + 1)
 
-interface Outage {
+interface ElectionSetup {
   readonly seed: number
   readonly leaseReads: boolean
 }
 
 /** From the start of all members to a leader, in milliseconds. */
-async function measureElectionMs({ seed, leaseReads }: Outage): Promise<number> {
+async function measureElectionMs({ seed, leaseReads }: ElectionSetup): Promise<number> {
   const cluster = await TestCluster.start({ seed, voters: 5, leaseReads })
   await cluster.clock.advance(10_000)
   for (const { memberId } of cluster.voters) cluster.crashNode(memberId)
--- a/consensus/raft/test/handlers.test.ts
+++ b/consensus/raft/test/handlers.test.ts
@@ -5,7 +5,7 @@
 const payload = Buffer.from([0])
 
 /** One of three voters, to which the test itself plays the others. */
-async function startOne(t: ExecutionContext, seed = 1) {
+async function startSingleVoter(t: ExecutionContext, seed = 1) {
   const cluster = new TestCluster({ seed, voters: 3 })
   t.teardown(() => cluster.close())
   await cluster.startNode('c1')
@@ -39,7 +39,7 @@
 }
 
 test('a vote outlives a crash: nobody else gets one in the same term', async (t) => {
-  const { cluster, get, run, restart } = await startOne(t)
+  const { cluster, get, run, restart } = await startSingleVoter(t)
   await cluster.clock.advance(1600)
   t.true((await run(get().handleVote(vote('c2', 7)))).granted)
   await restart()
@@ -48,7 +48,7 @@
 })
 
 test('a vote in a term that was known already outlives a crash too', async (t) => {
-  const { cluster, get, run, restart } = await startOne(t)
+  const { cluster, get, run, restart } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1])))
   await cluster.clock.advance(1600)
   const { term } = get().describe()
@@ -58,17 +58,17 @@
 })
 
 test('an entry of an earlier term is not committed by counting who holds it', async (t) => {
-  const { cluster, get, run } = await startOne(t)
+  const { cluster, get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1])))
   // Both peers vote, and acknowledge the old entry but nothing of the new term.
-  const play = (diskId: string) => ({
+  const createPeer = (diskId: string) => ({
     handleVote: ({ term }: VoteRequest) =>
       Promise.resolve({ term: term - 1, diskId, granted: true }),
     handleAppend: ({ term }: AppendRequest) =>
       Promise.resolve({ term, diskId, accepted: true, matchIndex: 1 }),
   })
   for (const id of ['c2', 'c3'])
-    cluster.links.nodes.set(id, play(id) as unknown as RaftNode<number>)
+    cluster.links.nodes.set(id, createPeer(id) as unknown as RaftNode<number>)
   await cluster.clock.advance(6000)
   t.is(get().describe().role, 'leader')
   t.is(get().describe().commitIndex, 0)
@@ -76,11 +76,11 @@
 
 test('entries that were acknowledged outlive a crash', async (t) => {
   // The seed decides whether the disk keeps what a crash overtook.
-  for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) await checkAcknowledged(t, seed)
+  for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) await checkAcknowledgedSurviveCrash(t, seed)
 })
 
-async function checkAcknowledged(t: ExecutionContext, seed: number): Promise<void> {
-  const { cluster, get } = await startOne(t, seed)
+async function checkAcknowledgedSurviveCrash(t: ExecutionContext, seed: number): Promise<void> {
+  const { cluster, get } = await startSingleVoter(t, seed)
   // Nothing of this goes on after the crash: it comes with the answer itself.
   const crashed = get()
     .handleAppend(append(0, [1, 1, 1]))
@@ -94,7 +94,7 @@
 }
 
 test('a late request does not cut off what a newer one brought', async (t) => {
-  const { get, run } = await startOne(t)
+  const { get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1, 1, 1, 1])))
   const late = await run(get().handleAppend(append(0, [1, 1])))
   t.like(late, { accepted: true, matchIndex: 2 })
@@ -102,7 +102,7 @@
 })
 
 test('entries that differ from the leader are cut off, and a gap is refused with where to go on', async (t) => {
-  const { get, run } = await startOne(t)
+  const { get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1, 1, 1, 1])))
   t.like(await run(get().handleAppend(append(2, [2]))), { accepted: true, matchIndex: 3 })
   t.is(get().describe().lastIndex, 3)
@@ -110,7 +110,7 @@
 })
 
 test('a snapshot does not remove the entries behind it that were acknowledged', async (t) => {
-  const { get, run } = await startOne(t)
+  const { get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1, 1, 1, 1])))
   const data = Buffer.from('[]')
   const at = { snapshotIndex: 2, snapshotTerm: 1, offset: 0, totalBytes: data.length, data }
--- a/consensus/raft/test/hangingSave.test.ts
+++ b/consensus/raft/test/hangingSave.test.ts
@@ -4,24 +4,28 @@
  * as long as its disk hung: with four healthy members beside it, each read ended as `no-quorum`.
  */
 import test from 'ava'
-import { startLedCluster } from '../__utils__/index.js'
+import { startClusterWithLeader } from '../__utils__/index.js'
 
 const limits = { snapshotEveryEntries: 4, keepEntries: 2 }
-const hangsMs = 6000
+const hangMs = 6000
 const proposals = 6
 const answerMs = 1000
 
 test('a leader answers reads and changes while the save of its snapshot hangs', async (t) => {
-  const { cluster, leaderId, node } = await startLedCluster(t, { seed: 1, voters: 5, limits })
+  const { cluster, leaderId, node } = await startClusterWithLeader(t, {
+    seed: 1,
+    voters: 5,
+    limits,
+  })
   const { raft: leader, store } = node
   const saveSnapshot = store.saveSnapshot.bind(store)
-  let savings = 0
+  let saves = 0
   store.saveSnapshot = async (snapshot, keepEntries) => {
-    savings += 1
-    await cluster.clock.sleep(hangsMs)
+    saves += 1
+    await cluster.clock.sleep(hangMs)
     await saveSnapshot(snapshot, keepEntries)
   }
-  while (savings === 0) {
+  while (saves === 0) {
     void cluster.propose(leaderId)
     await cluster.clock.advance(100)
   }
@@ -32,14 +36,14 @@
       .readBarrier()
       .run()
       .then((outcome) => outcomes.push(outcome.isRight()))
-    await cluster.clock.advance(hangsMs / proposals / 2)
+    await cluster.clock.advance(hangMs / proposals / 2)
   }
   const acknowledged = cluster.acknowledged.length
   await cluster.clock.advance(answerMs)
   t.deepEqual(outcomes, new Array<boolean>(proposals).fill(true))
   t.true(acknowledged >= proposals, `${acknowledged} acknowledged`)
-  t.is(savings, 1)
-  await cluster.clock.advance(hangsMs)
+  t.is(saves, 1)
+  await cluster.clock.advance(hangMs)
   t.is(cluster.history.length, cluster.acknowledged.length)
-  t.deepEqual(cluster.listFaults(), [])
+  t.deepEqual(cluster.listViolations(), [])
 })
--- a/consensus/raft/test/namedLeader.test.ts
+++ b/consensus/raft/test/namedLeader.test.ts
@@ -1,9 +1,13 @@
 /** Whom a member names as the leader, while no majority is left to elect another. */
 import test from 'ava'
-import { startLedCluster } from '../__utils__/index.js'
+import { startClusterWithLeader } from '../__utils__/index.js'
 
 test('a member names a leader only as long as it hears it', async (t) => {
-  const { cluster, leaderId } = await startLedCluster(t, { seed: 1, voters: 3, leaseReads: false })
+  const { cluster, leaderId } = await startClusterWithLeader(t, {
+    seed: 1,
+    voters: 3,
+    leaseReads: false,
+  })
   const [lastId = '', otherId = ''] = [...cluster.running.keys()].filter((id) => id !== leaderId)
   const last = cluster.running.get(lastId)?.raft
   t.is(last?.leader?.memberId, leaderId)
--- a/consensus/raft/test/raftNode.test.ts
+++ b/consensus/raft/test/raftNode.test.ts
@@ -91,10 +91,10 @@
   cluster.loseDisk(lost)
   await cluster.startNode(lost)
   await cluster.clock.advance(10_000)
-  t.true(cluster.lines.some((line) => /raft.membership .*voters=c\d,c\d /.test(line)))
+  t.true(cluster.logLines.some((line) => /raft.membership .*voters=c\d,c\d /.test(line)))
   t.is(getRole(cluster, lost), 'voter')
   t.is(cluster.running.get(lost)?.machine.applied.length, 5)
-  t.deepEqual(cluster.listFaults(), [])
+  t.deepEqual(cluster.listViolations(), [])
 })
 
 test('a silent voter is replaced by a learner that stands ready, and a second loss then loses nothing', async (t) => {
@@ -134,7 +134,7 @@
   cluster.links.lossShare = 0.05
   await cluster.startNode(late)
   await cluster.clock.advance(60_000)
-  t.true(cluster.lines.some((line) => line.includes('raft.snapshot-installed')))
+  t.true(cluster.logLines.some((line) => line.includes('raft.snapshot-installed')))
   t.is(cluster.running.get(late)?.machine.applied.length, 40)
 })
 
@@ -157,7 +157,7 @@
   t.is(cluster.acknowledged.length, 2)
   cluster.resumeNode(formerId, () => void cluster.read(formerId))
   await cluster.clock.advance(5000)
-  t.deepEqual(cluster.listFaults(), [])
+  t.deepEqual(cluster.listViolations(), [])
 })
 
 test('a leader that stood still for a moment hears its followers again before it judges them lost', async (t) => {
--- a/consensus/raft/test/readWatch.test.ts
+++ b/consensus/raft/test/readWatch.test.ts
@@ -12,10 +12,10 @@
   if (leader === undefined) throw new Error('nobody leads')
   const { leaderId = '' } = leader.describe()
   const followers = [...cluster.running.keys()].filter((memberId) => memberId !== leaderId)
-  cluster.lines.length = 0
+  cluster.logLines.length = 0
   const readMany = () =>
     Promise.all(Array.from({ length: burst }, () => leader.readBarrier().run()))
-  const listLines = () => cluster.lines.filter((line) => line.includes('event=raft.read-'))
+  const listLines = () => cluster.logLines.filter((line) => line.includes('event=raft.read-'))
   return { cluster, leaderId, followers, readMany, listLines }
 }
 
--- a/consensus/raft/test/refusedEntry.test.ts
+++ b/consensus/raft/test/refusedEntry.test.ts
@@ -17,9 +17,9 @@
   )
   await cluster.clock.advance(600)
   await refused
-  const sound = { ...request, term: 2, entries: [{ term: 2, payload: command }] }
-  const taken = t.notThrowsAsync(raft.handleAppend(sound))
+  const readable = { ...request, term: 2, entries: [{ term: 2, payload: command }] }
+  const accepted = t.notThrowsAsync(raft.handleAppend(readable))
   await cluster.clock.advance(600)
-  await taken
+  await accepted
   t.is(raft.describe().lastIndex, 1)
 })
--- a/consensus/raft/test/schedules.test.ts
+++ b/consensus/raft/test/schedules.test.ts
@@ -11,7 +11,7 @@
   | { readonly type: 'advance'; readonly ms: number }
 
 const node = fc.integer({ min: 1, max: 5 })
-const step: fc.Arbitrary<Step> = fc.oneof(
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
   { weight: 8, arbitrary: fc.record({ type: fc.constant('propose' as const), node }) },
   { weight: 3, arbitrary: fc.record({ type: fc.constant('read' as const), node }) },
   { weight: 2, arbitrary: fc.record({ type: fc.constantFrom('crash', 'isolate'), node }) },
@@ -49,31 +49,31 @@
   },
 )
 
-async function take(cluster: TestCluster, taken: Step): Promise<void> {
-  switch (taken.type) {
+async function applyStep(cluster: TestCluster, step: Step): Promise<void> {
+  switch (step.type) {
     case 'propose':
       // Half of the proposals go to the leader, so that many are committed.
-      void cluster.propose(taken.node % 2 === 0 ? `c${taken.node}` : leaderId(cluster))
+      void cluster.propose(step.node % 2 === 0 ? `c${step.node}` : leaderId(cluster))
       return
     case 'read':
       for (const memberId of cluster.running.keys()) void cluster.read(memberId)
       return
     case 'crash':
-      cluster.crashNode(`c${taken.node}`)
+      cluster.crashNode(`c${step.node}`)
       return
     case 'restart':
-      await cluster.startNode(`c${taken.node}`)
+      await cluster.startNode(`c${step.node}`)
       return
     case 'isolate':
-      cluster.links.partition([`c${taken.node}`, `c${(taken.node % 5) + 1}`].slice(taken.node % 2))
+      cluster.links.partition([`c${step.node}`, `c${(step.node % 5) + 1}`].slice(step.node % 2))
       return
     case 'add':
     case 'remove':
-      if (taken.type === 'add') await cluster.startNode(`c${taken.node}`)
-      void cluster.changeMembers(taken.type, taken.node)
+      if (step.type === 'add') await cluster.startNode(`c${step.node}`)
+      void cluster.changeMembers(step.type, step.node)
       return
     case 'lose disk':
-      cluster.loseDisk(`c${taken.node}`)
+      cluster.loseDisk(`c${step.node}`)
       return
     case 'transfer':
       void cluster.leader?.transferLeadership()
@@ -88,7 +88,7 @@
       cluster.pauseNode(leaderId(cluster))
       return
     case 'resume':
-      for (const memberId of cluster.links.paused.keys()) {
+      for (const memberId of cluster.links.pausedDeliveries.keys()) {
         // A read at this moment meets a node that does not know yet how long it was away.
         cluster.resumeNode(memberId, () => void cluster.read(memberId))
       }
@@ -97,10 +97,10 @@
       cluster.links.partition([])
       return
     case 'lose':
-      cluster.links.lossShare = taken.share
+      cluster.links.lossShare = step.share
       return
     case 'advance':
-      await cluster.clock.advance(taken.ms)
+      await cluster.clock.advance(step.ms)
   }
 }
 
@@ -108,7 +108,11 @@
   return cluster.leader?.describe().leaderId ?? 'c1'
 }
 
-async function run(steps: readonly Step[], seed: number, voters: number): Promise<string[]> {
+async function runSchedule(
+  steps: readonly Step[],
+  seed: number,
+  voters: number,
+): Promise<string[]> {
   const cluster = await TestCluster.start({
     seed,
     voters,
@@ -116,21 +120,21 @@
     limits: { snapshotEveryEntries: 8, keepEntries: 2, snapshotChunkBytes: 64 },
   })
   await cluster.clock.advance(5000)
-  for (const taken of steps) await take(cluster, taken)
+  for (const step of steps) await applyStep(cluster, step)
   await cluster.settle()
   await cluster.close()
-  return cluster.listFaults()
+  return cluster.listViolations()
 }
 
 /** One schedule from its seed and the numbers drawn, or as many as `numRuns` says. */
-async function assertPromises(voters: number, opts: fc.Parameters<[Step[], number]>) {
+async function assertInvariants(voters: number, opts: fc.Parameters<[Step[], number]>) {
   await fc.assert(
     fc.asyncProperty(
-      fc.array(step, { minLength: 50, maxLength: 150, size: 'max' }),
+      fc.array(stepArbitrary, { minLength: 50, maxLength: 150, size: 'max' }),
       fc.integer(),
       async (steps, seed) => {
-        const faults = await run(steps, seed, voters)
-        if (faults.length > 0) throw new Error(faults.join('\n'))
+        const violations = await runSchedule(steps, seed, voters)
+        if (violations.length > 0) throw new Error(violations.join('\n'))
       },
     ),
     { ...opts, endOnFailure: true },
@@ -139,7 +143,7 @@
 
 for (const voters of [3, 5]) {
   test(`${voters} voters keep every promise over any schedule of faults, changes and reads`, async (t) => {
-    await assertPromises(voters, { numRuns: 40 })
+    await assertInvariants(voters, { numRuns: 40 })
     t.pass()
   })
 }
@@ -158,7 +162,7 @@
 
 test('schedules that once broke a promise of five voters keep it', async (t) => {
   for (const { seed, path } of slowLeaderSchedules) {
-    await assertPromises(5, { seed, path, numRuns: 1 })
+    await assertInvariants(5, { seed, path, numRuns: 1 })
   }
   t.pass()
 })
--- a/consensus/raft/test/slowDisk.test.ts
+++ b/consensus/raft/test/slowDisk.test.ts
@@ -1,13 +1,17 @@
 /** A leader whose own disk is far behind those of its followers: they commit what it has not written. */
 import test, { type ExecutionContext } from 'ava'
-import { startLedCluster, TestCluster } from '../__utils__/index.js'
+import { startClusterWithLeader, TestCluster } from '../__utils__/index.js'
 
 const proposals = 6
 const limits = { snapshotEveryEntries: 4, keepEntries: 2 }
 
 /** A leader whose syncs take half a second, and that has just been given some proposals. */
 async function startSlowLeader(t: ExecutionContext) {
-  const { cluster, leaderId, node } = await startLedCluster(t, { seed: 1, voters: 3, limits })
+  const { cluster, leaderId, node } = await startClusterWithLeader(t, {
+    seed: 1,
+    voters: 3,
+    limits,
+  })
   node.store.slowShare = 1
   for (let made = 0; made < proposals; made++) {
     void cluster.propose(leaderId)
@@ -27,7 +31,7 @@
   await cluster.clock.advance(5000)
   t.is(node.machine.applied.length, proposals + 1)
   t.true(node.store.snapshotMeta.index > 0)
-  t.deepEqual(cluster.listFaults(), [])
+  t.deepEqual(cluster.listViolations(), [])
 })
 
 test('a leader that is replaced writes what the followers committed without its disk', async (t) => {
@@ -42,7 +46,7 @@
   void cluster.propose(next)
   await cluster.clock.advance(20_000)
   t.is(node.machine.applied.length, proposals + 1)
-  t.deepEqual(cluster.listFaults(), [])
+  t.deepEqual(cluster.listViolations(), [])
 })
 
 test('a leader whose disk was full takes again what the followers committed without it', async (t) => {
@@ -58,14 +62,14 @@
   node.store.isFull = true
   for (let made = 1; made < proposals; made++) void cluster.propose(leaderId)
   await cluster.clock.advance(10_000)
-  t.true(cluster.lines.some((line) => line.includes('kind=disk-full')))
+  t.true(cluster.logLines.some((line) => line.includes('kind=disk-full')))
   node.store.slowShare = 0
   node.store.isFull = false
   await cluster.clock.advance(10_000)
   void cluster.propose(cluster.leader?.describe().leaderId ?? '')
   await cluster.clock.advance(10_000)
   t.deepEqual(
-    cluster.lines.filter((line) => line.includes('kind=internal')),
+    cluster.logLines.filter((line) => line.includes('kind=internal')),
     [],
   )
   t.is(node.machine.applied.length, cluster.history.length)
