--- a/consensus/raft/__utils__/memoryDisk.ts
+++ b/consensus/raft/__utils__/memoryDisk.ts
@@ -1,4 +1,4 @@
-/** What a disk holds for certain: all of it was synced. */
+/** The synced content of a simulated disk: it survives every crash. */
 import type { HardState, LogEntry, Snapshot } from '@nettlespur/storage.log'
 
 export class MemoryDisk {
--- a/consensus/raft/__utils__/memoryLinks.ts
+++ b/consensus/raft/__utils__/memoryLinks.ts
@@ -1,4 +1,7 @@
-/** Links between nodes in memory: messages take time, may be lost either way, and links can be cut. */
+/**
+ * Simulated links between the nodes of a test. Requests and answers are delivered after a random delay; either may be
+ * late or lost, and links can be cut.
+ */
 import type { Clock } from '@nettlespur/core.clock'
 import {
   RaftTransport,
@@ -15,22 +18,22 @@
 
 const maxDelayMs = 30
 const callTimeoutMs = 750
-/** A late message takes this long, so that it comes after others that were sent later. */
+/** Extra delay of a late message: long enough for messages sent after it to overtake it. */
 const lateDelayMs = 3000
 
 export class MemoryLinks {
   readonly nodes = new Map<string, RaftNode<number>>()
-  /** Share of messages that come late. */
+  /** Share of messages, from 0 to 1, that are delayed by `lateDelayMs`. */
   lateShare = 0
-  /** Share of messages lost. */
+  /** Share of messages, from 0 to 1, that are lost. */
   lossShare = 0
-  /** What waits for a node that is paused. */
+  /** Deliveries held back for each paused node, by member id. */
   readonly pausedDeliveries = new Map<string, (() => void)[]>()
-  /** Pairs that do not reach each other, as `from to`. */
+  /** Cut links, one for each direction, as `FROM TO`. */
   readonly cutLinks = new Set<string>()
   readonly #clock: Clock
   readonly #random: () => number
-  /** Which side of a partition a node is on; all are on one side where it is empty. */
+  /** The side of the partition that each node is on; 0 for nodes that are not listed. */
   #partitionSides = new Map<string, number>()
 
   constructor(clock: Clock, random: () => number) {
@@ -38,12 +41,12 @@
     this.#random = random
   }
 
-  /** Nodes named here reach only each other. */
+  /** Separates the given nodes from all others; an empty list ends the partition. */
   partition(isolated: readonly string[]): void {
     this.#partitionSides = new Map(isolated.map((memberId) => [memberId, 1]))
   }
 
-  /** Cuts the link between two nodes, both ways. */
+  /** Cuts the link between two nodes in both directions. */
   cutLink(one: string, other: string): void {
     this.cutLinks.add(`${one} ${other}`)
     this.cutLinks.add(`${other} ${one}`)
--- a/consensus/raft/__utils__/memoryLogStore.ts
+++ b/consensus/raft/__utils__/memoryLogStore.ts
@@ -1,4 +1,4 @@
-/** A log store on a MemoryDisk. A write takes time, and a crash meanwhile may lose it. */
+/** A log store on a MemoryDisk. A write takes time, and a crash before its end may lose it. */
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 import {
@@ -11,14 +11,14 @@
 import type { MemoryDisk } from './memoryDisk.js'
 
 const maxSyncMs = 8
-/** A slow sync takes this long: a crash then loses what peers hold already. */
+/** Extra time of a slow sync: a crash within it can lose entries that peers have stored already. */
 const slowSyncMs = 500
 const neverMs = 1e12
 
 export class MemoryLogStore extends LogStore {
-  /** Takes no more entries. */
+  /** Whether `append` rejects with `disk-full`. */
   isFull = false
-  /** Share of syncs that are slow. */
+  /** Share of syncs, from 0 to 1, that take `slowSyncMs` longer. */
   slowShare = 0
   readonly #disk: MemoryDisk
   readonly #clock: Clock
@@ -118,7 +118,7 @@
     return Promise.resolve()
   }
 
-  /** What is being written is lost, or reaches the disk without being told; nothing comes after it. */
+  /** The pending write is lost, or reaches the disk without being confirmed; later writes never end. */
   crash(): void {
     this.#crashed = true
     if (this.#random() < 0.5) this.#pendingWrite?.()
--- a/consensus/raft/__utils__/pausableClock.ts
+++ b/consensus/raft/__utils__/pausableClock.ts
@@ -1,4 +1,4 @@
-/** The clock of one node on a shared one. Paused, its timers wait although time goes on. */
+/** The clock of one node, on top of a shared one. While it is paused, time goes on and due timers are held back. */
 import { sleepOn, type Clock, type ManualClock, type Timer } from '@nettlespur/core.clock'
 
 export class PausableClock implements Clock {
--- a/consensus/raft/__utils__/recordingMachine.ts
+++ b/consensus/raft/__utils__/recordingMachine.ts
@@ -1,11 +1,14 @@
-/** A state that is the list of its commands, checked against what any other node applied. */
+/**
+ * A state machine whose state is the list of applied commands. Applying a command throws if another node has applied
+ * a different one at the same position.
+ */
 import { StateMachine } from '../src/index.js'
 
 export class RecordingMachine extends StateMachine<number> {
   readonly applied: string[] = []
   readonly #history: string[]
 
-  /** `history` is shared: the first node to apply a command adds it. */
+  /** `history` is shared by all nodes: the first node that applies a command appends it. */
   constructor(history: string[]) {
     super()
     this.#history = history
--- a/consensus/raft/__utils__/seededRandom.ts
+++ b/consensus/raft/__utils__/seededRandom.ts
@@ -1,4 +1,4 @@
-/** Pseudo-random numbers in [0, 1) that a seed decides. */
+/** Returns a generator of pseudo-random numbers in [0, 1); the same seed gives the same sequence. */
 export function createSeededRandom(seed: number): () => number {
   let state = seed >>> 0
   return () => {
--- a/consensus/raft/__utils__/testCluster.ts
+++ b/consensus/raft/__utils__/testCluster.ts
@@ -1,4 +1,4 @@
-/** Nodes over memory disks and links on one manual clock, and the promises they must keep. */
+/** Runs Raft nodes on simulated disks and links and one manual clock, and checks the invariants of consensus. */
 import { ManualClock } from '@nettlespur/core.clock'
 import { toNettlespurError, unwrap } from '@nettlespur/core.errors'
 import { createLogger } from '@nettlespur/core.logger'
@@ -10,6 +10,7 @@
 import { RecordingMachine } from './recordingMachine.js'
 import { createSeededRandom } from './seededRandom.js'
 
+/** Kinds of errors after which a proposal must never be applied. */
 const uncommittedErrorKinds = new Set(['not-leader', 'no-quorum'])
 const defaultTimings: RaftTimings = {
   heartbeatMs: 250,
@@ -26,22 +27,22 @@
 export interface TestClusterOptions {
   seed: number
   voters: number
-  /** Share of messages that come late, and of syncs that are slow; 0 by default. */
+  /** Share of messages that are late and of syncs that are slow, from 0 to 1; 0 by default. */
   slowShare?: number
   timings?: Partial<RaftTimings>
   limits?: Partial<RaftLimits>
-  /** As for a node; true by default. */
+  /** Passed to each node as `RaftOptions.leaseReads`; true by default. */
   leaseReads?: boolean
 }
 
 export class TestCluster {
   readonly clock = new ManualClock(new Date('2026-01-01T00:00:00Z'))
   readonly links: MemoryLinks
-  /** What any node applied, in order. */
+  /** The commands that any node has applied, in order. */
   readonly history: string[] = []
   readonly acknowledged: string[] = []
   readonly refused: string[] = []
-  /** Broken promises, in words. */
+  /** Descriptions of the violated invariants. */
   readonly violations: string[] = []
   readonly logLines: string[] = []
   readonly running = new Map<string, RunningNode>()
@@ -73,7 +74,7 @@
     return Array.from({ length: this.#opts.voters }, (_, at) => createMember(at + 1))
   }
 
-  /** The node that leads in the highest term, if any. */
+  /** The leader of the highest term; undefined if there is none. */
   get leader(): RaftNode<number> | undefined {
     return [...this.running.values()]
       .map(({ raft }) => raft)
@@ -115,7 +116,7 @@
     this.links.nodes.set(memberId, raft)
   }
 
-  /** What was not synced may be lost. */
+  /** Stops a node at once; a write that is not synced yet may be lost. */
   crashNode(memberId: string): void {
     const node = this.running.get(memberId)
     if (node === undefined) return
@@ -127,8 +128,9 @@
   }
 
   /**
-   * The next start finds an empty disk. Once only, with three voters or more, and not where an operator took
-   * voters out: two voters do not outlast the loss of one.
+   * Crashes a node and erases its disk. Does nothing if that could lose committed entries and `evenIfFatal` is not
+   * set: if a disk was erased before, a member was removed, or there are fewer than three voters, since two voters
+   * cannot survive the loss of one.
    */
   loseDisk(memberId: string, opts: { evenIfFatal?: boolean } = {}): void {
     const members = this.leader?.describe().members ?? []
@@ -140,20 +142,20 @@
     this.#disks.delete(memberId)
   }
 
-  /** A node whose timers and messages wait, as those of a stopped process do. */
+  /** Holds back the timers and messages of a node, as if its process were suspended. */
   pauseNode(memberId: string): void {
     this.#getClock(memberId).pause()
     this.links.pausedDeliveries.set(memberId, [])
   }
 
-  /** `first` runs before anything that waited. */
+  /** Calls `runFirst` before the timers and messages that were held back. */
   resumeNode(memberId: string, runFirst: () => void = () => undefined): void {
     runFirst()
     this.#getClock(memberId).resume()
     this.links.resume(memberId)
   }
 
-  /** Proposes to this node and notes the outcome once it is known. */
+  /** Proposes a command to this node and records whether it was acknowledged or refused. */
   async propose(memberId: string): Promise<void> {
     const node = this.running.get(memberId)
     if (node === undefined) return
@@ -165,7 +167,7 @@
     }
   }
 
-  /** Reads through this node and checks that it shows all that was acknowledged before. */
+  /** Reads from this node and checks that the state holds every command acknowledged before the read began. */
   async read(memberId: string): Promise<void> {
     const node = this.running.get(memberId)
     if (node === undefined) return
@@ -176,6 +178,7 @@
       this.violations.push(`a read at ${memberId} lacks ${missing.join(', ')}`)
   }
 
+  /** Does nothing if there is no leader, or if a member would be removed after a disk was lost. */
   async changeMembers(change: 'add' | 'remove', number: number): Promise<void> {
     const member = createMember(number)
     const { leader } = this
@@ -184,7 +187,7 @@
     await (change === 'add' ? leader.addMember(member) : leader.removeMember(member.memberId)).run()
   }
 
-  /** Ends all faults, and waits until a proposal is committed and applied by every member. */
+  /** Ends all injected faults and waits until a proposal is committed and every member has applied it. */
   async settle(): Promise<void> {
     this.links.partition([])
     this.links.lossShare = 0
@@ -204,7 +207,10 @@
     )
   }
 
-  /** What an outside reader can check at the end. */
+  /**
+   * Returns all violations: those recorded so far, acknowledged commands that are lost, refused ones that were applied,
+   * commands applied twice, and log lines of failed writes or applies.
+   */
   listViolations(): string[] {
     const inHistory = new Set(this.history)
     const lost = this.acknowledged.filter((command) => !inHistory.has(command))
@@ -213,14 +219,14 @@
     const failed = this.logLines.filter((line) => /apply-failed|write-failed/.test(line))
     return [
       ...this.violations,
-      ...lost.map((command) => `lost: ${command}`),
-      ...taken.map((command) => `refused, yet applied: ${command}`),
+      ...lost.map((command) => `acknowledged, but lost: ${command}`),
+      ...taken.map((command) => `refused, but applied: ${command}`),
       ...(twice > 0 ? [`${twice} applied twice`] : []),
       ...failed,
     ]
   }
 
-  /** Lets everything end, so that nothing runs on. */
+  /** Stops all nodes and waits until their tasks have ended. */
   async close(): Promise<void> {
     for (const { raft } of this.running.values()) void raft.stop()
     await this.clock.advance(10_000)
--- a/consensus/raft/test/applyLoop.test.ts
+++ b/consensus/raft/test/applyLoop.test.ts
@@ -13,10 +13,10 @@
 
 const timings = { heartbeatMs: 250, electionTimeoutMs: 1500, replaceVoterAfterMs: 20_000 }
 const missingEntries = 3
-/** Reads of the log in a second of waiting: one each heartbeat, and one for the commit. */
+/** Maximum reads of the log in one second of waiting: one each heartbeat, and one at the commit. */
 const readsMax = 6
 
-test('what is committed and not held is waited for, told once, and applied when it is there', async (t) => {
+test('committed entries missing from the log are waited for, logged once, and applied after they arrive', async (t) => {
   const clock = new ManualClock()
   const events: LogEvent[] = []
   const write = (event: LogEvent): void => void events.push(event)
@@ -25,7 +25,7 @@
   let reads = 0
   store.read = (fromIndex, bytesMax) => {
     reads += 1
-    // Otherwise this test would never end.
+    // Ends the test if the loop reads without waiting.
     return reads > 100 ? Promise.reject(new Error('without end')) : read(fromIndex, bytesMax)
   }
   const machine = new RecordingMachine([])
--- a/consensus/raft/test/foreignMessages.test.ts
+++ b/consensus/raft/test/foreignMessages.test.ts
@@ -1,4 +1,4 @@
-/** Messages and entries of peers that are foreign or of a newer version: refused by name, never half taken. */
+/** Messages and entries malformed or of a newer version are refused whole, with an error that names the cause. */
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
 import fc from 'fast-check'
@@ -24,7 +24,7 @@
 const flags = { preVote: false, transfer: false }
 const vote = { term: 2, candidateId: 'c2', diskId: 'd', lastIndex: 1, lastTerm: 1, ...flags }
 
-test('a message with a field of a newer version is refused, and the field named', (t) => {
+test('a message with an unknown field is refused with an error that names the field', (t) => {
   const cases = [
     [voteRequestSchema, vote],
     [appendRequestSchema, append],
@@ -41,7 +41,7 @@
   }
 })
 
-test('whatever bytes an entry holds, it is read whole or refused with an error of the list', (t) => {
+test('an entry of arbitrary bytes is decoded, or refused with a NettlespurError', (t) => {
   const kind = fc.oneof(fc.constantFrom(0, 1, 2, 3), fc.nat(255))
   const rest = fc.oneof(
     fc.uint8Array({ maxLength: 50 }).map((bytes) => Buffer.from(bytes)),
@@ -60,7 +60,7 @@
   t.throws(() => decodePayload(Buffer.alloc(0)), { instanceOf: NettlespurError })
 })
 
-test('entries of which one cannot be read are refused together, and nothing of them is stored', async (t) => {
+test('an append request with one unreadable entry is refused, and none of its entries is stored', async (t) => {
   const cluster = new TestCluster({ seed: 1, voters: 3 })
   t.teardown(() => cluster.close())
   await cluster.startNode('c1')
--- a/consensus/raft/test/freshElection.test.ts
+++ b/consensus/raft/test/freshElection.test.ts
@@ -1,4 +1,4 @@
-/** Members that all start again elect without waiting for the silence of a leader that cannot be there. */
+/** After a restart of all members, the election does not wait for the election timeout, unless reads use leases. */
 import test from 'ava'
 import { TestCluster } from '../__utils__/index.js'
 
@@ -12,7 +12,7 @@
   readonly leaseReads: boolean
 }
 
-/** From the start of all members to a leader, in milliseconds. */
+/** Measures the time from a restart of all members to the next leader. */
 async function measureElectionMs({ seed, leaseReads }: ElectionSetup): Promise<number> {
   const cluster = await TestCluster.start({ seed, voters: 5, leaseReads })
   await cluster.clock.advance(10_000)
@@ -25,21 +25,21 @@
   return tookMs
 }
 
-test('after a power cut of all a leader is elected within a few heartbeats', async (t) => {
+test('after a restart of all members a leader is elected within five heartbeats', async (t) => {
   for (const seed of seeds) {
     const tookMs = await measureElectionMs({ seed, leaseReads: false })
     t.true(tookMs <= 5 * heartbeatMs, `seed ${seed}: ${tookMs} ms`)
   }
 })
 
-test('where reads rest on time, members keep to the silence that a leader may count on', async (t) => {
+test('with lease reads, restarted members elect no leader before the election timeout has passed', async (t) => {
   for (const seed of seeds) {
     const tookMs = await measureElectionMs({ seed, leaseReads: true })
     t.true(tookMs >= electionTimeoutMs, `seed ${seed}: ${tookMs} ms`)
   }
 })
 
-test('a member that starts again beside a leader unseats nobody', async (t) => {
+test('a restarted follower does not unseat the leader', async (t) => {
   for (const seed of seeds) {
     const cluster = await TestCluster.start({ seed, voters: 5, leaseReads: false })
     await cluster.clock.advance(10_000)
--- a/consensus/raft/test/handlers.test.ts
+++ b/consensus/raft/test/handlers.test.ts
@@ -4,7 +4,7 @@
 
 const payload = Buffer.from([0])
 
-/** One of three voters, to which the test itself plays the others. */
+/** Starts one of three voters; the test sends the requests of the other two. */
 async function startSingleVoter(t: ExecutionContext, seed = 1) {
   const cluster = new TestCluster({ seed, voters: 3 })
   t.teardown(() => cluster.close())
@@ -14,7 +14,7 @@
     if (node === undefined) throw new Error('c1 is down')
     return node.raft
   }
-  /** Runs a call while time goes on. */
+  /** Advances the clock so that the call can end, and returns its result. */
   const run = async <T>(call: Promise<T>): Promise<T> => {
     await cluster.clock.advance(600)
     return call
@@ -38,7 +38,7 @@
   return { term, candidateId, diskId: candidateId, ...log, preVote: false, transfer: false }
 }
 
-test('a vote outlives a crash: nobody else gets one in the same term', async (t) => {
+test('a vote survives a crash: no other candidate gets one in the same term', async (t) => {
   const { cluster, get, run, restart } = await startSingleVoter(t)
   await cluster.clock.advance(1600)
   t.true((await run(get().handleVote(vote('c2', 7)))).granted)
@@ -47,7 +47,7 @@
   t.true((await run(get().handleVote(vote('c2', 7)))).granted)
 })
 
-test('a vote in a term that was known already outlives a crash too', async (t) => {
+test('a vote in a term that the voter knew before survives a crash', async (t) => {
   const { cluster, get, run, restart } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1])))
   await cluster.clock.advance(1600)
@@ -57,10 +57,10 @@
   t.false((await run(get().handleVote(vote('c2', term)))).granted)
 })
 
-test('an entry of an earlier term is not committed by counting who holds it', async (t) => {
+test('an entry of an earlier term is not committed merely because a majority holds it', async (t) => {
   const { cluster, get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1])))
-  // Both peers vote, and acknowledge the old entry but nothing of the new term.
+  // Both peers grant their votes and acknowledge the old entry, but no entry of the new term.
   const createPeer = (diskId: string) => ({
     handleVote: ({ term }: VoteRequest) =>
       Promise.resolve({ term: term - 1, diskId, granted: true }),
@@ -74,14 +74,14 @@
   t.is(get().describe().commitIndex, 0)
 })
 
-test('entries that were acknowledged outlive a crash', async (t) => {
-  // The seed decides whether the disk keeps what a crash overtook.
+test('acknowledged entries survive a crash', async (t) => {
+  // The seed decides whether a write that is pending at the crash reaches the disk.
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) await checkAcknowledgedSurviveCrash(t, seed)
 })
 
 async function checkAcknowledgedSurviveCrash(t: ExecutionContext, seed: number): Promise<void> {
   const { cluster, get } = await startSingleVoter(t, seed)
-  // Nothing of this goes on after the crash: it comes with the answer itself.
+  // The crash follows the answer at once, so that no later write can store the entries.
   const crashed = get()
     .handleAppend(append(0, [1, 1, 1]))
     .then(() => {
@@ -93,7 +93,7 @@
   t.is(get().describe().lastIndex, 3)
 }
 
-test('a late request does not cut off what a newer one brought', async (t) => {
+test('a delayed append request does not truncate the entries of a newer one', async (t) => {
   const { get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1, 1, 1, 1])))
   const late = await run(get().handleAppend(append(0, [1, 1])))
@@ -101,7 +101,7 @@
   t.is(get().describe().lastIndex, 4)
 })
 
-test('entries that differ from the leader are cut off, and a gap is refused with where to go on', async (t) => {
+test('conflicting entries are truncated, and a request that leaves a gap is refused with the last matching index', async (t) => {
   const { get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1, 1, 1, 1])))
   t.like(await run(get().handleAppend(append(2, [2]))), { accepted: true, matchIndex: 3 })
@@ -109,7 +109,7 @@
   t.like(await run(get().handleAppend(append(8, [2]))), { accepted: false, matchIndex: 3 })
 })
 
-test('a snapshot does not remove the entries behind it that were acknowledged', async (t) => {
+test('installing a snapshot keeps the acknowledged entries that follow it', async (t) => {
   const { get, run } = await startSingleVoter(t)
   await run(get().handleAppend(append(0, [1, 1, 1, 1])))
   const data = Buffer.from('[]')
--- a/consensus/raft/test/hangingSave.test.ts
+++ b/consensus/raft/test/hangingSave.test.ts
@@ -1,7 +1,7 @@
 /**
- * A leader whose disk hangs just as its snapshot is to be saved. Found by reading: the task that applies waited
- * for the save, so that the leader went on leading and committing while no read and no change was answered, for
- * as long as its disk hung: with four healthy members beside it, each read ended as `no-quorum`.
+ * Guards against an apply loop that waits for the snapshot to be saved: if the leader's disk hung during the save,
+ * the leader kept its leadership and went on committing, but answered no read and no change. With four healthy
+ * followers, each read failed with `no-quorum`.
  */
 import test from 'ava'
 import { startClusterWithLeader } from '../__utils__/index.js'
@@ -11,7 +11,7 @@
 const proposals = 6
 const answerMs = 1000
 
-test('a leader answers reads and changes while the save of its snapshot hangs', async (t) => {
+test('a leader answers reads and proposals while saving its snapshot hangs', async (t) => {
   const { cluster, leaderId, node } = await startClusterWithLeader(t, {
     seed: 1,
     voters: 5,
--- a/consensus/raft/test/lostCommitted.test.ts
+++ b/consensus/raft/test/lostCommitted.test.ts
@@ -1,9 +1,8 @@
 /**
- * A leader whose write fails forgets entries that its followers have committed already. Found by reading: while
- * it waits for its snapshot to be saved it applies nothing, and commits on; when the save then fails, what it is
- * to apply next is gone from its log, and the task that applies asked for it again at once, for ever, without
- * letting anything else run. The process answered nothing any more, wrote no line and gave its processor away to
- * nobody.
+ * Guards against a busy loop: a leader whose write fails drops unwritten entries that its followers have committed
+ * already. If it applied nothing while it waited for a snapshot to be saved, and the save failed, the entries to apply
+ * next were missing from its log. The apply loop then read the log again and again without waiting, and blocked the
+ * event loop: the process answered and logged nothing.
  */
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
@@ -12,10 +11,10 @@
 const limits = { snapshotEveryEntries: 4, keepEntries: 2 }
 const saveMs = 400
 const proposals = 12
-/** Reads of the log within one moment that only a task without end makes. */
+/** More reads than this at one time of the manual clock mean a busy loop. */
 const readsMax = 1000
 
-test('a leader that lost committed entries with a failed write waits for them and lets others run', async (t) => {
+test('a leader that lost committed entries in a failed write waits for them without blocking other tasks', async (t) => {
   const { cluster, leaderId, node } = await startClusterWithLeader(t, {
     seed: 1,
     voters: 3,
@@ -34,7 +33,7 @@
     const nowMs = cluster.clock.monotonicMs()
     reads = nowMs === lastReadMs ? reads + 1 : 1
     lastReadMs = nowMs
-    // Otherwise this test would never end.
+    // Ends the test if the loop reads without waiting.
     if (reads > readsMax) return Promise.reject(new Error('the log is read without end'))
     return read(fromIndex, bytesMax)
   }
--- a/consensus/raft/test/member.test.ts
+++ b/consensus/raft/test/member.test.ts
@@ -1,8 +1,8 @@
-/** Who counts as a voter while the voters change. */
+/** Which members count as voters during a change of the voters (joint consensus). */
 import test from 'ava'
 import { isSettledVoter, isVoter } from '../src/member.js'
 
-test('a member that joins the voters counts as one only once the change is done', (t) => {
+test('during a change of voters only members of both the old and the new voters count as settled', (t) => {
   const members = ['a', 'b', 'c', 'd'].map((memberId) => ({
     memberId,
     peerAddress: '127.0.0.1:1',
--- a/consensus/raft/test/namedLeader.test.ts
+++ b/consensus/raft/test/namedLeader.test.ts
@@ -1,8 +1,8 @@
-/** Whom a member names as the leader, while no majority is left to elect another. */
+/** The leader that a member reports while no majority is left to elect another one. */
 import test from 'ava'
 import { startClusterWithLeader } from '../__utils__/index.js'
 
-test('a member names a leader only as long as it hears it', async (t) => {
+test('a member no longer reports a leader from which it hears nothing', async (t) => {
   const { cluster, leaderId } = await startClusterWithLeader(t, {
     seed: 1,
     voters: 3,
--- a/consensus/raft/test/raftNode.test.ts
+++ b/consensus/raft/test/raftNode.test.ts
@@ -10,7 +10,7 @@
 
 function requireLeader(cluster: TestCluster) {
   const { leader } = cluster
-  if (leader === undefined) throw new Error('nobody leads')
+  if (leader === undefined) throw new Error('no leader was elected')
   return leader
 }
 
@@ -32,7 +32,7 @@
   return members.find((member) => member.memberId === memberId)?.role
 }
 
-test('a member cut off for long comes back without unseating the leader or raising its term', async (t) => {
+test('a member that was isolated for a minute rejoins without unseating the leader or raising its term', async (t) => {
   const cluster = await startCluster(t)
   const before = requireLeader(cluster).describe()
   const [follower = ''] = listFollowers(cluster)
@@ -46,7 +46,7 @@
   t.is(cluster.running.get(follower)?.machine.applied.length, 5)
 })
 
-test('a leader that hears no majority steps down, and another one is elected', async (t) => {
+test('a leader without answers from a majority steps down, and another one is elected', async (t) => {
   const cluster = await startCluster(t)
   const former = requireLeader(cluster)
   cluster.links.partition([former.describe().leaderId ?? ''])
@@ -55,7 +55,7 @@
   t.not(requireLeader(cluster), former)
 })
 
-test('the first leader needs every voter, since empty logs may be lost disks', async (t) => {
+test('the first election needs every voter, since an empty log may mean a lost disk', async (t) => {
   const cluster = new TestCluster({ seed: 1, voters: 3 })
   t.teardown(() => cluster.close())
   await cluster.startNode('c1')
@@ -67,7 +67,7 @@
   t.truthy(cluster.leader)
 })
 
-test('two voters back on empty disks elect nobody without the one that holds the log', async (t) => {
+test('two of three voters that restart on empty disks elect no leader, with or without the third', async (t) => {
   const cluster = await startCluster(t)
   await proposeMany(cluster, 3)
   const [first = '', second = ''] = listFollowers(cluster)
@@ -84,7 +84,7 @@
   t.is(cluster.leader, undefined)
 })
 
-test('a voter on an empty disk does not vote, becomes a learner and is a voter again once it has caught up', async (t) => {
+test('a voter on an empty disk does not vote, becomes a learner, and is a voter again once it has caught up', async (t) => {
   const cluster = await startCluster(t)
   await proposeMany(cluster, 5)
   const [lost = ''] = listFollowers(cluster)
@@ -97,7 +97,7 @@
   t.deepEqual(cluster.listViolations(), [])
 })
 
-test('a silent voter is replaced by a learner that stands ready, and a second loss then loses nothing', async (t) => {
+test('a silent voter is replaced by a learner that has caught up, and a second crash then loses no entry', async (t) => {
   const cluster = await startCluster(t)
   await cluster.startNode('c4')
   void requireLeader(cluster).addMember(createMember(4)).run()
@@ -115,7 +115,7 @@
   t.is(cluster.running.get('c4')?.machine.applied.length, 8)
 })
 
-test('a planned hand-over gives the leadership to another voter within one round of messages', async (t) => {
+test('a leadership transfer makes another voter the leader within one round of messages', async (t) => {
   const cluster = await startCluster(t)
   const former = requireLeader(cluster)
   const done = former.transferLeadership()
@@ -125,7 +125,7 @@
   t.not(cluster.leader, former)
 })
 
-test('a member far behind gets a snapshot in pieces, over a link that loses messages', async (t) => {
+test('a member that is far behind installs a snapshot sent in chunks, although messages are lost', async (t) => {
   const limits = { snapshotEveryEntries: 10, keepEntries: 2, snapshotChunkBytes: 32 }
   const cluster = await startCluster(t, { limits })
   const [late = ''] = listFollowers(cluster)
@@ -138,7 +138,7 @@
   t.is(cluster.running.get(late)?.machine.applied.length, 40)
 })
 
-test('a follower that loses only its link to the leader does not unseat it', async (t) => {
+test('a follower that is cut off from the leader alone does not unseat it', async (t) => {
   const cluster = await startCluster(t)
   const before = requireLeader(cluster).describe()
   const [follower = ''] = listFollowers(cluster)
@@ -147,7 +147,7 @@
   t.like(requireLeader(cluster).describe(), { leaderId: before.leaderId, term: before.term })
 })
 
-test('a leader that was stopped for long does not answer a read from what it knew', async (t) => {
+test('a leader that resumes after a long pause does not answer a read from stale state', async (t) => {
   const cluster = await startCluster(t)
   await proposeMany(cluster, 1)
   const formerId = requireLeader(cluster).describe().leaderId ?? ''
@@ -160,7 +160,7 @@
   t.deepEqual(cluster.listViolations(), [])
 })
 
-test('a leader that stood still for a moment hears its followers again before it judges them lost', async (t) => {
+test('a leader that resumes after a pause slightly longer than the election timeout keeps its leadership and term', async (t) => {
   const cluster = await startCluster(t, { seed: 4 })
   const { leaderId = '', term } = requireLeader(cluster).describe()
   cluster.pauseNode(leaderId)
@@ -170,11 +170,11 @@
   t.like(requireLeader(cluster).describe(), { leaderId, term })
 })
 
-test('a leader that is stopped right after its election still hands over', async (t) => {
+test('a leader can transfer its leadership right after its election', async (t) => {
   const cluster = await startCluster(t)
   const former = requireLeader(cluster)
   cluster.crashNode(former.describe().leaderId ?? '')
-  // Its first requests have no answer yet, so that it knows of no follower that could take over.
+  // The new leader has no answers yet, so that it knows of no follower that is up to date.
   let transfer: Promise<boolean> | undefined
   for (const { raft } of cluster.running.values()) {
     raft.standing.subscribe(({ role }) => {
@@ -185,7 +185,7 @@
   t.true(await transfer)
 })
 
-test('a hand-over goes to the next voter where the first one does not answer', async (t) => {
+test('a leadership transfer tries the next voter if the first one does not answer', async (t) => {
   const cluster = await startCluster(t)
   const former = requireLeader(cluster)
   const [first = '', second = ''] = listFollowers(cluster)
@@ -196,7 +196,7 @@
   t.is(requireLeader(cluster).describe().leaderId, second)
 })
 
-test('a leader that hears of no voter ends its hand-over within two election timeouts and one call', async (t) => {
+test('a leadership transfer without a reachable voter ends within two election timeouts and one call timeout', async (t) => {
   const cluster = await startCluster(t)
   const former = requireLeader(cluster)
   for (const memberId of listFollowers(cluster)) cluster.crashNode(memberId)
--- a/consensus/raft/test/readWatch.test.ts
+++ b/consensus/raft/test/readWatch.test.ts
@@ -1,4 +1,4 @@
-/** What a leader logs of reads that it confirms late or not at all. */
+/** The log lines of a leader about reads that it confirms slowly or refuses. */
 import test, { type ExecutionContext } from 'ava'
 import { TestCluster } from '../__utils__/index.js'
 
@@ -9,7 +9,7 @@
   t.teardown(() => cluster.close())
   await cluster.clock.advance(10_000)
   const { leader } = cluster
-  if (leader === undefined) throw new Error('nobody leads')
+  if (leader === undefined) throw new Error('no leader was elected')
   const { leaderId = '' } = leader.describe()
   const followers = [...cluster.running.keys()].filter((memberId) => memberId !== leaderId)
   cluster.logLines.length = 0
@@ -19,7 +19,7 @@
   return { cluster, leaderId, followers, readMany, listLines }
 }
 
-test('reads that are confirmed in time leave no line', async (t) => {
+test('reads that are confirmed in time are not logged', async (t) => {
   const { cluster, readMany, listLines } = await startCluster(t)
   const reading = readMany()
   await cluster.clock.advance(1000)
@@ -27,7 +27,7 @@
   t.deepEqual(listLines(), [])
 })
 
-test('a burst of reads that no majority confirms leaves one line with the silent voters', async (t) => {
+test('a burst of reads that no majority confirms is logged as one line that lists the silent voters', async (t) => {
   const { cluster, leaderId, followers, readMany, listLines } = await startCluster(t)
   cluster.links.partition([leaderId])
   const reading = readMany()
@@ -39,7 +39,7 @@
   for (const follower of followers) t.regex(lines[0] ?? '', new RegExp(`silent=\\S*${follower}:`))
 })
 
-test('reads confirmed late name the step, and the next line counts those between', async (t) => {
+test('slow reads are logged with their step, and the next line counts the reads left out in between', async (t) => {
   const { cluster, leaderId, followers, readMany, listLines } = await startCluster(t)
   const confirmLate = async (): Promise<void> => {
     cluster.links.partition([leaderId])
--- a/consensus/raft/test/refusedEntry.test.ts
+++ b/consensus/raft/test/refusedEntry.test.ts
@@ -1,4 +1,4 @@
-/** A peer's message that cannot be read is refused by itself: the member that refused it takes the next one. */
+/** An append request that cannot be decoded is refused alone: the member accepts the next one. */
 import test from 'ava'
 import { TestCluster } from '../__utils__/index.js'
 
@@ -6,7 +6,7 @@
 const unknownKind = Buffer.from([9])
 const request = { term: 1, leaderId: 'c2', prevIndex: 0, prevTerm: 0, commitIndex: 0 }
 
-test('a member that refused an entry of a newer version takes the entries that stand in its place', async (t) => {
+test('a member that refused an entry of an unknown kind accepts a readable entry at the same index', async (t) => {
   const cluster = new TestCluster({ seed: 1, voters: 3 })
   t.teardown(() => cluster.close())
   await cluster.startNode('c1')
--- a/consensus/raft/test/schedules.test.ts
+++ b/consensus/raft/test/schedules.test.ts
@@ -89,7 +89,7 @@
       return
     case 'resume':
       for (const memberId of cluster.links.pausedDeliveries.keys()) {
-        // A read at this moment meets a node that does not know yet how long it was away.
+        // This read reaches the node before its timers run: it does not know yet how long it was paused.
         cluster.resumeNode(memberId, () => void cluster.read(memberId))
       }
       return
@@ -126,7 +126,7 @@
   return cluster.listViolations()
 }
 
-/** One schedule from its seed and the numbers drawn, or as many as `numRuns` says. */
+/** Checks `numRuns` random schedules, or the one that `seed` and `path` select. */
 async function assertInvariants(voters: number, opts: fc.Parameters<[Step[], number]>) {
   await fc.assert(
     fc.asyncProperty(
@@ -142,13 +142,16 @@
 }
 
 for (const voters of [3, 5]) {
-  test(`${voters} voters keep every promise over any schedule of faults, changes and reads`, async (t) => {
+  test(`${voters} voters violate no invariant in random schedules of faults, membership changes and reads`, async (t) => {
     await assertInvariants(voters, { numRuns: 40 })
     t.pass()
   })
 }
 
-/** Followers committed what a leader with a slow disk had not written: it left the group, or kept a gap. */
+/**
+ * In these schedules followers committed entries that a leader with a slow disk had not written: the leader then
+ * stopped taking part, or kept a gap in its log.
+ */
 const slowLeaderSchedules = [
   { seed: 3, path: '28' },
   { seed: 5, path: '30' },
@@ -160,7 +163,7 @@
   { seed: 20261202, path: '35' },
 ]
 
-test('schedules that once broke a promise of five voters keep it', async (t) => {
+test('schedules that once violated an invariant of five voters violate none', async (t) => {
   for (const { seed, path } of slowLeaderSchedules) {
     await assertInvariants(5, { seed, path, numRuns: 1 })
   }
--- a/consensus/raft/test/slowDisk.test.ts
+++ b/consensus/raft/test/slowDisk.test.ts
@@ -1,11 +1,11 @@
-/** A leader whose own disk is far behind those of its followers: they commit what it has not written. */
+/** A leader whose disk is slower than those of its followers: they commit entries that it has not written yet. */
 import test, { type ExecutionContext } from 'ava'
 import { startClusterWithLeader, TestCluster } from '../__utils__/index.js'
 
 const proposals = 6
 const limits = { snapshotEveryEntries: 4, keepEntries: 2 }
 
-/** A leader whose syncs take half a second, and that has just been given some proposals. */
+/** Starts a leader whose syncs take half a second longer, and proposes commands to it. */
 async function startSlowLeader(t: ExecutionContext) {
   const { cluster, leaderId, node } = await startClusterWithLeader(t, {
     seed: 1,
@@ -20,7 +20,7 @@
   return { cluster, leaderId, node }
 }
 
-test('a snapshot waits until the leader has written what it covers', async (t) => {
+test('a leader takes no snapshot before it has written the entries that the snapshot covers', async (t) => {
   const { cluster, leaderId, node } = await startSlowLeader(t)
   await cluster.clock.advance(100)
   t.is(node.machine.applied.length, proposals)
@@ -34,7 +34,7 @@
   t.deepEqual(cluster.listViolations(), [])
 })
 
-test('a leader that is replaced writes what the followers committed without its disk', async (t) => {
+test('a former leader writes the entries that its followers committed before it had written them', async (t) => {
   const { cluster, leaderId, node } = await startSlowLeader(t)
   await cluster.clock.advance(100)
   t.is(node.machine.applied.length, proposals)
@@ -49,13 +49,13 @@
   t.deepEqual(cluster.listViolations(), [])
 })
 
-test('a leader whose disk was full takes again what the followers committed without it', async (t) => {
+test('a leader whose disk was full stores again the entries that its followers committed without it', async (t) => {
   const cluster = await TestCluster.start({ seed: 1, voters: 3 })
   t.teardown(() => cluster.close())
   await cluster.clock.advance(10_000)
   const leaderId = cluster.leader?.describe().leaderId ?? ''
   const node = cluster.running.get(leaderId)
-  if (node === undefined) throw new Error('nobody leads')
+  if (node === undefined) throw new Error('no leader was elected')
   node.store.slowShare = 1
   void cluster.propose(leaderId)
   await cluster.clock.advance(20)
