--- a/consensus/raft/__utils__/pausableClock.ts
+++ b/consensus/raft/__utils__/pausableClock.ts
@@ -1,9 +1,9 @@
-/** The clock of one node on a shared one. Paused, its timers wait although time goes on. */
+/** The clock of one node, on top of a shared one. While it is paused, time goes on and due timers are held back. */
 import { sleepOn, type Clock, type ManualClock, type Timer } from '@nettlespur/core.clock'
 
 export class PausableClock implements Clock {
   readonly #clock: ManualClock
-  #held: (() => void)[] | undefined
+  #heldTimers: (() => void)[] | undefined
 
   constructor(clock: ManualClock) {
     this.#clock = clock
@@ -23,8 +23,8 @@
       const fire = (): void => {
         if (!cancelled) run()
       }
-      if (this.#held === undefined) fire()
-      else this.#held.push(fire)
+      if (this.#heldTimers === undefined) fire()
+      else this.#heldTimers.push(fire)
     })
     const cancel = (): void => {
       cancelled = true
@@ -38,12 +38,12 @@
   }
 
   pause(): void {
-    this.#held ??= []
+    this.#heldTimers ??= []
   }
 
   resume(): void {
-    const held = this.#held ?? []
-    this.#held = undefined
+    const held = this.#heldTimers ?? []
+    this.#heldTimers = undefined
     for (const fire of held) fire()
   }
 }
--- a/consensus/raft/test/applyLoop.test.ts
+++ b/consensus/raft/test/applyLoop.test.ts
@@ -12,11 +12,11 @@
 import { Replica } from '../src/replica.js'
 
 const timings = { heartbeatMs: 250, electionTimeoutMs: 1500, replaceVoterAfterMs: 20_000 }
-const lost = 3
-/** Reads of the log in a second of waiting: one each heartbeat, and one for the commit. */
+const missingEntries = 3
+/** Maximum reads of the log in one second of waiting: one each heartbeat, and one at the commit. */
 const readsMax = 6
 
-test('what is committed and not held is waited for, told once, and applied when it is there', async (t) => {
+test('committed entries missing from the log are waited for, logged once, and applied after they arrive', async (t) => {
   const clock = new ManualClock()
   const events: LogEvent[] = []
   const write = (event: LogEvent): void => void events.push(event)
@@ -25,7 +25,7 @@
   let reads = 0
   store.read = (fromIndex, bytesMax) => {
     reads += 1
-    // Otherwise this test would never end.
+    // Ends the test if the loop reads without waiting.
     return reads > 100 ? Promise.reject(new Error('without end')) : read(fromIndex, bytesMax)
   }
   const machine = new RecordingMachine([])
@@ -41,18 +41,18 @@
   })
   const ending = new AbortController()
   const running = new ApplyLoop(replica, new Proposals<number>()).run(ending.signal)
-  replica.advanceCommitIndex(lost)
+  replica.advanceCommitIndex(missingEntries)
   await clock.advance(1000)
   t.true(reads <= readsMax, `${reads} reads`)
   t.is(events.filter(({ event }) => event === 'raft.apply-waits').length, 1)
-  const entries = Array.from({ length: lost }, (_, at) => ({
+  const entries = Array.from({ length: missingEntries }, (_, at) => ({
     index: at + 1,
     term: 1,
     payload: encodeCommand(Buffer.from(`command ${at}`)),
   }))
   void replica.log.append(entries)
   await clock.advance(1000)
-  t.is(machine.applied.length, lost)
+  t.is(machine.applied.length, missingEntries)
   ending.abort()
   await clock.advance(1000)
   await running
