--- a/storage/log/src/commitQueue.ts
+++ b/storage/log/src/commitQueue.ts
@@ -20,7 +20,7 @@
   readonly cutTail: () => Promise<void>
 }
 
-interface Waiting {
+interface QueuedWrite {
   readonly work: LogChange | (() => Promise<void>)
   readonly resolve: () => void
   readonly reject: (error: NettlespurError) => void
@@ -28,7 +28,7 @@
 
 export class CommitQueue {
   readonly #opts: CommitQueueOptions
-  #waiting: Waiting[] = []
+  #waiting: QueuedWrite[] = []
   #running: Promise<void> | undefined
   #failure: NettlespurError | undefined
   #refused = 0
@@ -56,7 +56,7 @@
   }
 
   /** Resolves when nothing waits any more. */
-  async settle(): Promise<void> {
+  async drain(): Promise<void> {
     await this.#running
   }
 
@@ -69,7 +69,7 @@
     this.#running = undefined
   }
 
-  async #runBatch(batch: Waiting[]): Promise<void> {
+  async #runBatch(batch: QueuedWrite[]): Promise<void> {
     const works = batch.map(({ work }) => work)
     try {
       if (this.isFull) await this.#opts.cutTail()
@@ -90,7 +90,7 @@
   }
 
   /** One write of another kind, or as many changes as go together. */
-  #takeBatch(): Waiting[] {
+  #takeBatch(): QueuedWrite[] {
     let count = 0
     let bytes = 0
     for (const { work } of this.#waiting) {
@@ -103,7 +103,7 @@
     return this.#waiting.splice(0, count)
   }
 
-  #refuse(batch: Waiting[], failure: NettlespurError): void {
+  #refuse(batch: QueuedWrite[], failure: NettlespurError): void {
     const { kind, message: reason } = failure
     const isFinal = kind !== 'disk-full'
     if (isFinal) this.#failure = failure
--- a/storage/log/src/createFolder.ts
+++ b/storage/log/src/createFolder.ts
@@ -21,7 +21,7 @@
 ): Promise<void> {
   if (names.includes(diskIdFile)) return
   for (const name of names) {
-    if (await holdsState(files, folder, name)) {
+    if (await hasState(files, folder, name)) {
       throw damagedError(path.join(folder, diskIdFile), 0, `missing, though there is ${name}`)
     }
   }
@@ -31,7 +31,7 @@
   await writeSmallFile(files, folder, diskIdFile, { diskId: randomUUID() })
 }
 
-async function holdsState(files: FileSystem, folder: string, name: string): Promise<boolean> {
+async function hasState(files: FileSystem, folder: string, name: string): Promise<boolean> {
   if (parseSnapshotName(name) !== undefined) return true
   if (parseSegmentName(name) === undefined) return false
   const bytes = await files.readFile(path.join(folder, name))
--- a/storage/log/src/fileLogStore.ts
+++ b/storage/log/src/fileLogStore.ts
@@ -21,7 +21,7 @@
 import { SegmentedLog } from './segmentedLog.js'
 import { hardStateFile, writeSmallFile } from './smallFile.js'
 import { SnapshotFolder } from './snapshotFolder.js'
-import { check, toStorageError } from './storageErrors.js'
+import { assertValidCall, toStorageError } from './storageErrors.js'
 
 const defaultSegmentBytesMax = 4 * 1024 * 1024
 const defaultBatchBytesMax = 1024 * 1024
@@ -154,7 +154,10 @@
     this.#checkLogWritable()
     if (entries.length === 0) return this.#waitForEarlier()
     entries.forEach((entry, position) => {
-      check(entry.index === this.#index.nextIndex + position, `entry ${entry.index} leaves a gap`)
+      assertValidCall(
+        entry.index === this.#index.nextIndex + position,
+        `entry ${entry.index} leaves a gap`,
+      )
     })
     await this.#queue.add(appendEntries(this.#index, entries))
   }
@@ -162,7 +165,7 @@
   async truncateFrom(index: number): Promise<void> {
     this.#checkLogWritable()
     if (index > this.lastIndex) return this.#waitForEarlier()
-    check(index > this.#snapshotIndexAsked, `a snapshot stands for entry ${index}`)
+    assertValidCall(index > this.#snapshotIndexAsked, `a snapshot stands for entry ${index}`)
     await this.#queue.add(truncateEntries(this.#index, index))
   }
 
@@ -179,7 +182,7 @@
     this.#checkWritable()
     const { index, term } = snapshot.meta
     if (this.#installing || index <= this.#snapshotIndexAsked) return this.#waitForEarlier()
-    check(this.termAt(index) === term, `no entry ${index} of term ${term} to snapshot`)
+    assertValidCall(this.termAt(index) === term, `no entry ${index} of term ${term} to snapshot`)
     this.#snapshotIndexAsked = index
     try {
       await this.#queue.add(async () => {
@@ -220,11 +223,11 @@
       this.#index = new LogIndex(index + 1)
       this.#snapshotIndexAsked = index
     })
-    await this.#snapshots.removeFormer()
+    await this.#snapshots.removeOlderSnapshots()
   }
 
   async #close(): Promise<void> {
-    await this.#queue.settle()
+    await this.#queue.drain()
     try {
       if (this.#queue.failure === undefined && !this.#queue.isFull) await this.#log.seal()
     } finally {
@@ -240,11 +243,11 @@
 
   #checkWritable(): void {
     if (this.#queue.failure !== undefined) throw this.#queue.failure
-    check(this.#closed === undefined, 'the store is closed')
+    assertValidCall(this.#closed === undefined, 'the store is closed')
   }
 
   #checkLogWritable(): void {
     this.#checkWritable()
-    check(!this.#installing, 'a snapshot is being installed')
+    assertValidCall(!this.#installing, 'a snapshot is being installed')
   }
 }
--- a/storage/log/src/folderLock.ts
+++ b/storage/log/src/folderLock.ts
@@ -24,7 +24,7 @@
     const file = path.join(folder, own)
     await createLock(files, folder, own)
     try {
-      await checkOthers(files, folder, own)
+      await checkOtherLocks(files, folder, own)
     } catch (error) {
       await files.removeFile(file)
       throw error
@@ -41,19 +41,19 @@
   try {
     await (await files.createFile(path.join(folder, own))).close()
   } catch (error) {
-    throw (error as NodeJS.ErrnoException).code === 'EEXIST' ? inUse(folder, own) : error
+    throw (error as NodeJS.ErrnoException).code === 'EEXIST' ? folderInUseError(folder, own) : error
   }
 }
 
-async function checkOthers(files: FileSystem, folder: string, own: string): Promise<void> {
+async function checkOtherLocks(files: FileSystem, folder: string, own: string): Promise<void> {
   const locks = (await files.listFolder(folder)).filter((name) => name.startsWith(prefix))
   for (const lock of locks.filter((name) => name !== own)) {
-    if (await files.isProcessAlive(lock.slice(prefix.length))) throw inUse(folder, lock)
+    if (await files.isProcessAlive(lock.slice(prefix.length))) throw folderInUseError(folder, lock)
     await files.removeFile(path.join(folder, lock))
   }
 }
 
-function inUse(folder: string, lock: string): NettlespurError {
+function folderInUseError(folder: string, lock: string): NettlespurError {
   return new NettlespurError('storage-failed', `${folder} is in use: ${lock}`, {
     hint: 'Stop the other process, or give this one a data folder of its own.',
   })
--- a/storage/log/src/logChange.ts
+++ b/storage/log/src/logChange.ts
@@ -10,7 +10,7 @@
   /** The index that follows once the change is durable. */
   readonly nextIndex: number
   /** Told where its body stands once it is durable. */
-  readonly settle: (segment: Segment, offsetBytes: number) => void
+  readonly markDurable: (segment: Segment, offsetBytes: number) => void
   /** Takes it back in memory; the last change made is undone first. */
   readonly undo: () => void
 }
@@ -23,7 +23,7 @@
   return {
     body: Buffer.concat(records),
     nextIndex: index.nextIndex,
-    settle: (segment, startBytes) => {
+    markDurable: (segment, startBytes) => {
       let offsetBytes = startBytes
       added.forEach((entry, position) => {
         const lengthBytes = records[position]?.length ?? 0
@@ -42,7 +42,7 @@
   return {
     body: encodeRecord({ kind: 'truncate', index: fromIndex, term: 0, payload: Buffer.alloc(0) }),
     nextIndex: fromIndex,
-    settle: () => undefined,
+    markDurable: () => undefined,
     undo: () => {
       index.append(removed)
     },
--- a/storage/log/src/logIndex.ts
+++ b/storage/log/src/logIndex.ts
@@ -43,13 +43,13 @@
 
   /** Forgets the entries in front that stand in `segment`. */
   dropSegment(segment: Segment): void {
-    const kept = this.#entries.findIndex((entry) => !isIn(entry, segment))
+    const kept = this.#entries.findIndex((entry) => !isInSegment(entry, segment))
     const dropped = kept === -1 ? this.#entries.length : kept
     this.#entries.splice(0, dropped)
     this.#firstIndex += dropped
   }
 }
 
-function isIn(entry: IndexedEntry, segment: Segment): boolean {
+function isInSegment(entry: IndexedEntry, segment: Segment): boolean {
   return 'segment' in entry.place && entry.place.segment === segment
 }
--- a/storage/log/src/processToken.ts
+++ b/storage/log/src/processToken.ts
@@ -14,7 +14,7 @@
 
 export async function isProcessAlive(token: string): Promise<boolean> {
   const pid = Number(token.split('-', 1)[0])
-  if (!Number.isSafeInteger(pid) || pid <= 0 || !answersSignals(pid)) return false
+  if (!Number.isSafeInteger(pid) || pid <= 0 || !isPidRunning(pid)) return false
   return (await readProcessToken(pid)) === token
 }
 
@@ -30,7 +30,7 @@
   return id.trim().replaceAll('-', '')
 }
 
-function answersSignals(pid: number): boolean {
+function isPidRunning(pid: number): boolean {
   try {
     process.kill(pid, 0)
     return true
--- a/storage/log/src/readEntries.ts
+++ b/storage/log/src/readEntries.ts
@@ -16,29 +16,29 @@
   fromIndex: number,
   bytesMax: number,
 ): Promise<LogEntry[]> {
-  const chosen = chooseEntries(log, fromIndex, bytesMax)
-  const runs = await Promise.all(splitRuns(chosen).map((run) => readRun(run)))
+  const chosen = selectEntries(log, fromIndex, bytesMax)
+  const runs = await Promise.all(splitBySegment(chosen).map((run) => readRun(run)))
   return runs.flat()
 }
 
-function chooseEntries(log: LogIndex, fromIndex: number, bytesMax: number): PlacedEntry[] {
+function selectEntries(log: LogIndex, fromIndex: number, bytesMax: number): PlacedEntry[] {
   const chosen: PlacedEntry[] = []
   let bytes = 0
   for (let index = fromIndex; ; index++) {
     const entry = log.get(index)
     if (entry === undefined) break
-    bytes += countPayload(entry)
+    bytes += getPayloadBytes(entry)
     if (chosen.length > 0 && bytes > bytesMax) break
     chosen.push({ index, entry })
   }
   return chosen
 }
 
-function countPayload({ place }: IndexedEntry): number {
+function getPayloadBytes({ place }: IndexedEntry): number {
   return 'payload' in place ? place.payload.length : place.lengthBytes - recordHeaderBytes
 }
 
-function splitRuns(chosen: readonly PlacedEntry[]): PlacedEntry[][] {
+function splitBySegment(chosen: readonly PlacedEntry[]): PlacedEntry[][] {
   const runs: PlacedEntry[][] = []
   let former: Segment | undefined
   for (const placed of chosen) {
@@ -56,7 +56,7 @@
   const first = run[0]?.entry.place
   const last = run.at(-1)?.entry.place
   if (first === undefined || last === undefined) return []
-  if ('payload' in first || 'payload' in last) return run.flatMap(toPending)
+  if ('payload' in first || 'payload' in last) return run.flatMap(toPendingEntry)
   const endBytes = last.offsetBytes + last.lengthBytes
   const bytes = await first.segment.read(first.offsetBytes, endBytes - first.offsetBytes)
   return run.flatMap(({ index, entry: { place } }) =>
@@ -66,7 +66,7 @@
   )
 }
 
-function toPending({ index, entry }: PlacedEntry): LogEntry[] {
+function toPendingEntry({ index, entry }: PlacedEntry): LogEntry[] {
   const { term, place } = entry
   return 'payload' in place ? [{ index, term, payload: place.payload }] : []
 }
--- a/storage/log/src/recoverFolder.ts
+++ b/storage/log/src/recoverFolder.ts
@@ -14,7 +14,7 @@
   hardStateSchema,
   readSmallFile,
 } from './smallFile.js'
-import { asideSuffix } from './writeAside.js'
+import { tempSuffix } from './writeAside.js'
 
 export interface RecoverFolderOptions {
   readonly files: FileSystem
@@ -33,7 +33,7 @@
 export async function recoverFolder(opts: RecoverFolderOptions): Promise<RecoveredFolder> {
   const { files, folder } = opts
   await files.syncFolder(folder)
-  await removeFiles(opts, await listAside(opts))
+  await removeFiles(opts, await listTempFiles(opts))
   await createFolder(files, folder, await files.listFolder(folder))
   const names = await files.listFolder(folder)
   const { diskId } = await readSmallFile(files, folder, diskIdFile, diskIdSchema)
@@ -41,7 +41,7 @@
   const base = await recoverSnapshot(files, folder, names)
   const log = await recoverLog({ files, folder, names, base })
   try {
-    await makeWhole(opts, base, log)
+    await repairLogTail(opts, base, log)
     await removeFiles(opts, [...base.voidFiles, ...log.voidFiles])
   } catch (error) {
     for (const segment of log.segments) await segment.retire()
@@ -54,7 +54,7 @@
 }
 
 /** Cuts a torn tail and seals the log; makes the first segment where a crash came before it. */
-async function makeWhole(
+async function repairLogTail(
   opts: RecoverFolderOptions,
   { generation }: RecoveredSnapshot,
   log: RecoveredLog,
@@ -74,9 +74,9 @@
 }
 
 /** Files that a crash left before they got their name. */
-async function listAside({ files, folder }: RecoverFolderOptions): Promise<string[]> {
+async function listTempFiles({ files, folder }: RecoverFolderOptions): Promise<string[]> {
   const names = await files.listFolder(folder)
-  return names.filter((name) => name.endsWith(asideSuffix)).map((name) => path.join(folder, name))
+  return names.filter((name) => name.endsWith(tempSuffix)).map((name) => path.join(folder, name))
 }
 
 async function removeFiles(
--- a/storage/log/src/recoverLog.ts
+++ b/storage/log/src/recoverLog.ts
@@ -34,7 +34,7 @@
   const { base, folder } = opts
   const ids = opts.names.flatMap((name) => parseSegmentName(name) ?? [])
   const current = ids.filter((id) => id.generation >= base.generation).sort(compareOldestFirst)
-  checkComplete(opts, current)
+  checkNoSegmentMissing(opts, current)
   const voidFiles = ids
     .filter((id) => id.generation < base.generation)
     .map((id) => path.join(folder, nameSegment(id)))
@@ -43,7 +43,7 @@
   const segments: Segment[] = []
   try {
     const tornTail = await replayAll(opts, current, index, segments)
-    checkReaches(opts, index)
+    checkCoversSnapshots(opts, index)
     return { index, segments, tornTail, voidFiles }
   } catch (error) {
     for (const segment of segments) await segment.retire()
@@ -62,7 +62,7 @@
   for (const id of ids) {
     const file = path.join(folder, nameSegment(id))
     const bytes = await files.readFile(file)
-    const scan = scanSegment({ bytes, file, id, last: id === ids.at(-1) })
+    const scan = scanSegment({ bytes, file, id, isLast: id === ids.at(-1) })
     const segment = await Segment.open(files, file, id, scan)
     segments.push(segment)
     for (const scanned of scan.records) replayRecord(index, scanned, segment)
@@ -73,7 +73,7 @@
 }
 
 /** A generation begins with a snapshot that was installed; segments of it exist from then on. */
-function checkComplete(opts: RecoverLogOptions, current: readonly SegmentId[]): void {
+function checkNoSegmentMissing(opts: RecoverLogOptions, current: readonly SegmentId[]): void {
   const { generation, snapshot } = opts.base
   const strayId = current.find((id) => id.generation > generation)
   if (strayId !== undefined) {
@@ -105,7 +105,7 @@
 }
 
 /** The log must join up with the snapshot, and reach as far as every snapshot ever made. */
-function checkReaches(opts: RecoverLogOptions, index: LogIndex): void {
+function checkCoversSnapshots(opts: RecoverLogOptions, index: LogIndex): void {
   const { snapshot, damaged } = opts.base
   const baseIndex = snapshot?.meta.index ?? 0
   const lastIndex = index.nextIndex - 1
--- a/storage/log/src/recoverSnapshot.ts
+++ b/storage/log/src/recoverSnapshot.ts
@@ -34,7 +34,7 @@
     const file = path.join(folder, nameSnapshot(id))
     const snapshot = decodeSnapshot(await files.readFile(file), id)
     if (snapshot !== undefined) {
-      return { generation, snapshot, damaged, voidFiles: listVoid(ids, id, folder) }
+      return { generation, snapshot, damaged, voidFiles: listOlderFiles(ids, id, folder) }
     }
     damaged ??= { file, index: id.index }
   }
@@ -42,7 +42,7 @@
   return { generation, snapshot: undefined, damaged, voidFiles: [] }
 }
 
-function listVoid(ids: readonly SnapshotId[], chosen: SnapshotId, folder: string): string[] {
+function listOlderFiles(ids: readonly SnapshotId[], chosen: SnapshotId, folder: string): string[] {
   return ids
     .filter((id) => compareNewestFirst(id, chosen) > 0)
     .map((id) => path.join(folder, nameSnapshot(id)))
--- a/storage/log/src/scanSegment.ts
+++ b/storage/log/src/scanSegment.ts
@@ -23,7 +23,7 @@
   readonly file: string
   readonly id: SegmentId
   /** Only the last segment may end in a torn write: all others were synced before the next was made. */
-  readonly last: boolean
+  readonly isLast: boolean
 }
 
 /** Throws `storage-damaged`, with file and byte offset. */
@@ -37,7 +37,7 @@
   while (endBytes < bytes.length) {
     const body = decodeFrame(bytes, endBytes, nonce, frames)
     if (body === undefined) {
-      checkTorn(opts, endBytes, nonce, frames)
+      checkTornTail(opts, endBytes, nonce, frames)
       break
     }
     records.push(...scanBody(body, endBytes + frameHeaderBytes, file))
@@ -47,13 +47,14 @@
   return { nonce, records, frames, endBytes }
 }
 
-function checkTorn(
+function checkTornTail(
   opts: ScanSegmentOptions,
   offsetBytes: number,
   nonce: Buffer,
   sequence: number,
 ): void {
-  if (!opts.last) throw damagedError(opts.file, offsetBytes, 'bad frame, and later segments follow')
+  if (!opts.isLast)
+    throw damagedError(opts.file, offsetBytes, 'bad frame, and later segments follow')
   const later = findLaterFrame(opts.bytes, offsetBytes, nonce, sequence)
   if (later !== undefined) {
     throw damagedError(opts.file, offsetBytes, `bad frame, and a later one follows at ${later}`)
--- a/storage/log/src/segment.ts
+++ b/storage/log/src/segment.ts
@@ -10,8 +10,8 @@
   segmentHeaderBytes,
   type SegmentId,
 } from './segmentHeader.js'
-import { toFinalError, toStorageError } from './storageErrors.js'
-import { prepareAside } from './writeAside.js'
+import { toUnrecoverableError, toStorageError } from './storageErrors.js'
+import { prepareFile } from './writeAside.js'
 
 /** A segment that has its room on the disk, and no name yet. */
 export interface PreparedSegment {
@@ -49,7 +49,7 @@
   static async prepare(files: FileSystem, folder: string, id: SegmentId): Promise<PreparedSegment> {
     const nonce = randomBytes(nonceBytes)
     const filePath = path.join(folder, nameSegment(id))
-    const aside = await prepareAside(files, filePath, encodeSegmentHeader({ ...id, nonce }))
+    const aside = await prepareFile(files, filePath, encodeSegmentHeader({ ...id, nonce }))
     const scan = { nonce, records: [], frames: 0, endBytes: segmentHeaderBytes }
     return {
       place: async () => new Segment(id, filePath, await aside.place(), scan),
@@ -124,7 +124,7 @@
     try {
       await this.#file.sync()
     } catch (error) {
-      throw toFinalError(error)
+      throw toUnrecoverableError(error)
     }
   }
 
--- a/storage/log/src/segmentedLog.ts
+++ b/storage/log/src/segmentedLog.ts
@@ -39,7 +39,7 @@
     const highest = Math.max(...changes.map((change) => change.nextIndex))
     let offsetBytes = await segment.writeFrame(body, highest)
     for (const change of changes) {
-      change.settle(segment, offsetBytes)
+      change.markDurable(segment, offsetBytes)
       offsetBytes += change.body.length
       this.#nextIndex = change.nextIndex
     }
@@ -63,13 +63,13 @@
   async startGeneration(
     generation: number,
     firstIndex: number,
-    putInForce: () => Promise<void>,
+    commitGeneration: () => Promise<void>,
   ): Promise<void> {
     const former = this.#segments
     const { files, folder } = this.#opts
     const prepared = await Segment.prepare(files, folder, { generation, number: 1, firstIndex })
     try {
-      await putInForce()
+      await commitGeneration()
     } catch (error) {
       await prepared.discard()
       throw error
--- a/storage/log/src/snapshotFolder.ts
+++ b/storage/log/src/snapshotFolder.ts
@@ -42,7 +42,7 @@
 
   async save(snapshot: Snapshot): Promise<void> {
     await this.#write({ ...snapshot, generation: this.#generation, installed: false })
-    await this.removeFormer()
+    await this.removeOlderSnapshots()
   }
 
   /** Older ones stay until `removeFormer`. */
@@ -78,7 +78,7 @@
     this.#meta = meta
   }
 
-  async removeFormer(): Promise<void> {
+  async removeOlderSnapshots(): Promise<void> {
     const { files, folder } = this.#opts
     const current = nameSnapshot({ generation: this.#generation, index: this.#meta.index })
     const names = await files.listFolder(folder)
--- a/storage/log/src/storageErrors.ts
+++ b/storage/log/src/storageErrors.ts
@@ -17,13 +17,13 @@
 }
 
 /** `storage-failed` whatever the reason: what is on the disk now is not known, so it must not be gone on from. */
-export function toFinalError(thrown: unknown): NettlespurError {
+export function toUnrecoverableError(thrown: unknown): NettlespurError {
   const { kind, message } = toStorageError(thrown)
   if (kind === 'storage-damaged') return toStorageError(thrown)
   return new NettlespurError('storage-failed', message, { cause: thrown })
 }
 
 /** These are faults of the caller, not of the disk. */
-export function check(condition: boolean, reason: string): void {
+export function assertValidCall(condition: boolean, reason: string): void {
   if (!condition) throw new NettlespurError('internal', reason)
 }
