--- a/storage/log/src/commitQueue.ts
+++ b/storage/log/src/commitQueue.ts
@@ -1,9 +1,11 @@
 /**
- * Puts all writes of one store in one line. Changes of the log that wait together become one frame, and so
- * share one write and one sync; other writes run by themselves, in their turn. A write that fails stops the
- * line for good: it and all that wait or come later get the same error, and changes not yet durable are
- * undone in memory. A full disk refuses only it and what waits: later writes are tried again, since a member
- * that stayed away after 0.5 s without room, five of them one after the other, left a group without a leader.
+ * Runs all writes of one store one after the other. Log changes that are queued together are written as one
+ * frame, with one write and one sync (group commit); any other write runs alone, in queue order.
+ *
+ * A failed write stops the queue for good: that write, all queued ones and all later ones reject with the same
+ * error, and log changes that are not yet durable are undone in memory. A full disk rejects only that write and
+ * the queued ones, and later writes are tried again: when members stopped for good after 0.5 s without disk
+ * space, five of them doing so in turn left the group without a leader.
  */
 import type { NettlespurError } from '@nettlespur/core.errors'
 import type { Logger } from '@nettlespur/core.logger'
@@ -12,11 +14,11 @@
 
 export interface CommitQueueOptions {
   readonly logger: Logger
-  /** A batch takes no further change once it holds as many bytes. */
+  /** Maximum size of a batch of several changes; a larger change is written alone. */
   readonly batchBytesMax: number
-  /** Makes the changes durable, as a whole. */
+  /** Writes the changes as one frame and syncs it. */
   readonly write: (changes: readonly LogChange[]) => Promise<void>
-  /** Removes what a write that a full disk refused has left. */
+  /** Truncates the bytes left behind by a write that failed on a full disk. */
   readonly cutTail: () => Promise<void>
 }
 
@@ -37,12 +39,12 @@
     this.#opts = opts
   }
 
-  /** The last write found the disk full. */
+  /** Whether the last write failed because the disk was full. */
   get isFull(): boolean {
     return this.#refused > 0
   }
 
-  /** Set once a write has failed for good. */
+  /** The error that stopped the queue; undefined while it accepts writes. */
   get failure(): NettlespurError | undefined {
     return this.#failure
   }
@@ -55,13 +57,13 @@
     })
   }
 
-  /** Resolves when nothing waits any more. */
+  /** Resolves when the queue is empty and no write is running. */
   async drain(): Promise<void> {
     await this.#running
   }
 
   async #run(): Promise<void> {
-    // Lets all calls of this turn join the first batch.
+    // Lets all calls made in the same synchronous code join the first batch.
     await Promise.resolve()
     while (this.#waiting.length > 0 && this.#failure === undefined) {
       await this.#runBatch(this.#takeBatch())
@@ -89,7 +91,7 @@
     this.#refused = 0
   }
 
-  /** One write of another kind, or as many changes as go together. */
+  /** Dequeues either one write that runs alone, or as many log changes as fit into a batch. */
   #takeBatch(): QueuedWrite[] {
     let count = 0
     let bytes = 0
--- a/storage/log/src/createFolder.ts
+++ b/storage/log/src/createFolder.ts
@@ -1,6 +1,6 @@
 /**
- * Makes a data folder. The disk identity is written last and marks the folder as made; what a crash left
- * before that is made anew.
+ * Initialises a data folder. The disk identity is written last and marks the folder as complete; if a crash
+ * came before that, initialisation starts again.
  */
 import { randomUUID } from 'node:crypto'
 import path from 'node:path'
@@ -13,7 +13,7 @@
 
 const firstSegment = { generation: 0, number: 1, firstIndex: 1 }
 
-/** Does nothing where the folder is made. Rejects with `storage-damaged` where only its identity is gone. */
+/** Does nothing if the folder is complete. Rejects with `storage-damaged` if it holds state but no disk identity. */
 export async function createFolder(
   files: FileSystem,
   folder: string,
@@ -22,7 +22,7 @@
   if (names.includes(diskIdFile)) return
   for (const name of names) {
     if (await hasState(files, folder, name)) {
-      throw damagedError(path.join(folder, diskIdFile), 0, `missing, though there is ${name}`)
+      throw damagedError(path.join(folder, diskIdFile), 0, `missing, but ${name} exists`)
     }
   }
   await writeSmallFile(files, folder, hardStateFile, { term: 0 })
--- a/storage/log/src/fileLogStore.ts
+++ b/storage/log/src/fileLogStore.ts
@@ -1,10 +1,10 @@
 /**
- * The log store on files under one data folder. Entries are framed records in segments; hard state, disk
- * identity and snapshots are files that are replaced as a whole. See docs/design/storage.md.
+ * Log store on the files of one data folder. Entries are records in the frames of segments; hard state, disk
+ * identity and snapshots are files that are replaced atomically. See docs/design/storage.md.
  *
- * Entries show in `lastIndex` and to readers from the call that appends them, so that further calls can
- * follow; they are durable once that call's promise resolves. `hardState` and `snapshotMeta` change only
- * then. After a failed write the store shows what was durable, and but for a full disk reads only.
+ * Appended entries are visible to readers and in `lastIndex` at once, so that further appends can follow; they
+ * are durable when the promise of `append` resolves. `hardState` and `snapshotMeta` change only once durable.
+ * After a failed write the store goes back to its durable state, and is read-only unless the disk was full.
  */
 import path from 'node:path'
 import type { Clock } from '@nettlespur/core.clock'
@@ -27,17 +27,17 @@
 const defaultBatchBytesMax = 1024 * 1024
 
 export interface FileLogStoreOptions {
-  /** The data folder; made where it is missing. */
+  /** The data folder; created if it is missing. */
   readonly folder: string
   readonly clock: Clock
   readonly logger: Logger
-  /** Keeps other processes off; true by default. False where one runs at a time and none sees another's end. */
+  /** True by default. False only if one process runs at a time and cannot see that the one before ended. */
   readonly locksFolder?: boolean
-  /** The machine's file system by default. */
+  /** The operating system's file system by default. */
   readonly files?: FileSystem
-  /** A segment grows larger only where one batch does. 4 MiB by default. */
+  /** Maximum size of a segment; only a single batch above it makes a larger one. 4 MiB by default. */
   readonly segmentBytesMax?: number
-  /** Appends that together hold no more share one sync. 1 MiB by default. */
+  /** Maximum size of a batch of log changes that share one sync. 1 MiB by default. */
   readonly batchBytesMax?: number
 }
 
@@ -58,7 +58,7 @@
   readonly #queue: CommitQueue
   #index: LogIndex
   #hardState: HardState
-  /** Entries up to here are no longer removed by truncation: a snapshot stands or will stand for them. */
+  /** Truncation is refused up to this index, because a snapshot that is saved or queued covers these entries. */
   #snapshotIndexAsked: number
   #installing = false
   #closed: Promise<void> | undefined
@@ -89,7 +89,7 @@
     })
   }
 
-  /** Rejects with `storage-damaged`, `disk-full` or `storage-failed`, the last also where the folder is in use. */
+  /** Rejects with `storage-damaged`, `disk-full` or `storage-failed`, the last also if the folder is in use. */
   static async open(opts: FileLogStoreOptions): Promise<FileLogStore> {
     const files = opts.files ?? new NodeFileSystem()
     const startMs = opts.clock.monotonicMs()
@@ -136,7 +136,7 @@
     return this.termAt(this.lastIndex) ?? this.snapshotMeta.term
   }
 
-  /** Bytes of all segments; the newest snapshot comes on top. */
+  /** Size of all segments, without the snapshot. */
   get logSizeBytes(): number {
     return this.#log.sizeBytes
   }
@@ -154,10 +154,7 @@
     this.#checkLogWritable()
     if (entries.length === 0) return this.#waitForEarlier()
     entries.forEach((entry, position) => {
-      assertValidCall(
-        entry.index === this.#index.nextIndex + position,
-        `entry ${entry.index} leaves a gap`,
-      )
+      assertValidCall(entry.index === this.#index.nextIndex + position, `gap before ${entry.index}`)
     })
     await this.#queue.add(appendEntries(this.#index, entries))
   }
@@ -165,7 +162,7 @@
   async truncateFrom(index: number): Promise<void> {
     this.#checkLogWritable()
     if (index > this.lastIndex) return this.#waitForEarlier()
-    assertValidCall(index > this.#snapshotIndexAsked, `a snapshot stands for entry ${index}`)
+    assertValidCall(index > this.#snapshotIndexAsked, `a snapshot covers entry ${index}`)
     await this.#queue.add(truncateEntries(this.#index, index))
   }
 
@@ -177,7 +174,7 @@
     })
   }
 
-  /** Does nothing where a newer snapshot is there already. */
+  /** Writes nothing if a snapshot at least as new is saved or queued, or one is being installed. */
   async saveSnapshot(snapshot: Snapshot, keepEntries: number): Promise<void> {
     this.#checkWritable()
     const { index, term } = snapshot.meta
@@ -195,7 +192,7 @@
     }
   }
 
-  /** Until it resolves, other changes of the log are refused. */
+  /** Until it resolves, appends and truncations are refused. */
   async installSnapshot(snapshot: Snapshot): Promise<void> {
     this.#checkLogWritable()
     this.#installing = true
@@ -215,7 +212,7 @@
     return this.#closed
   }
 
-  /** The snapshot's new name is the step that counts: it voids every segment of the generation before. */
+  /** The rename of the snapshot file commits it: all segments of older generations become obsolete. */
   async #install(snapshot: Snapshot): Promise<void> {
     const { index } = snapshot.meta
     await this.#log.startGeneration(this.#snapshots.generation + 1, index + 1, async () => {
@@ -236,7 +233,7 @@
     }
   }
 
-  /** A call with nothing left to do must not resolve before the call that did it. */
+  /** A call without a change of its own must not resolve before the queued writes that it relies on are durable. */
   #waitForEarlier(): Promise<void> {
     return this.#queue.add(() => Promise.resolve())
   }
--- a/storage/log/src/fileSystem.ts
+++ b/storage/log/src/fileSystem.ts
@@ -1,6 +1,6 @@
 /**
- * The few file operations the store uses, so that tests can put faults and crashes between them. Each call
- * either takes full effect or rejects; a rejected one may have taken effect in part.
+ * The file operations that the store uses, as an interface so that tests can inject faults and crashes between
+ * them. Each call either takes full effect or rejects; a rejected call may have taken effect in part.
  */
 
 /** A file open for reading and writing. */
@@ -8,24 +8,24 @@
   abstract read(offsetBytes: number, lengthBytes: number): Promise<Buffer>
   abstract write(bytes: Buffer, offsetBytes: number): Promise<void>
   abstract truncate(sizeBytes: number): Promise<void>
-  /** Makes the contents and the size durable; not the name. */
+  /** Makes the contents and the size durable, but not the file name. */
   abstract sync(): Promise<void>
   abstract close(): Promise<void>
 }
 
 export abstract class FileSystem {
-  /** Makes the folder and those above it where they are missing. */
+  /** Creates the folder and its parents if they are missing. */
   abstract makeFolder(folder: string): Promise<void>
   abstract listFolder(folder: string): Promise<string[]>
-  /** Makes the names in the folder durable: files created, renamed and removed. */
+  /** Makes the folder's entries durable: files created, renamed and removed. */
   abstract syncFolder(folder: string): Promise<void>
-  /** Opens a new file; rejects with the code `EEXIST` where there is one of that name. */
+  /** Opens a new file; rejects with the code `EEXIST` if the name exists. */
   abstract createFile(file: string): Promise<OpenFile>
   abstract openFile(file: string): Promise<OpenFile>
   abstract readFile(file: string): Promise<Buffer>
   abstract renameFile(from: string, to: string): Promise<void>
   abstract removeFile(file: string): Promise<void>
-  /** Names this process so that another life of the same process id has another name. */
+  /** Returns a token of this process that differs from that of any other process with the same id. */
   abstract readProcessToken(): Promise<string>
   abstract isProcessAlive(token: string): Promise<boolean>
 }
--- a/storage/log/src/folderLock.ts
+++ b/storage/log/src/folderLock.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a second process off a data folder. Each process puts up a lock file whose name is its own process
- * token, and only then looks for those of others: two that start together may both give way, but never both
- * hold. Lock files of processes that have ended are removed.
+ * Lock that keeps a second process from using a data folder. Each process creates a lock file named by its
+ * process token, and only then looks for other lock files: two processes that start together may both fail, but
+ * never both hold the lock. Lock files of processes that have ended are removed.
  */
 import path from 'node:path'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -18,7 +18,7 @@
     this.#file = file
   }
 
-  /** Rejects with `storage-failed` where a process that lives holds the folder, this one included. */
+  /** Rejects with `storage-failed` if a running process, including this one, holds the lock. */
   static async acquire(files: FileSystem, folder: string): Promise<FolderLock> {
     const own = prefix + (await files.readProcessToken())
     const file = path.join(folder, own)
--- a/storage/log/src/frame.ts
+++ b/storage/log/src/frame.ts
@@ -1,9 +1,10 @@
 /**
- * A frame holds the records of one write. The next frame is written only after the former one is synced, so
- * any trace of a later frame proves that a bad one was once whole: that is damage, not a torn write.
+ * A frame holds the records of one write. A frame is written only after the one before is synced, so a later
+ * frame behind an invalid one proves that the invalid one was once complete: it is damaged, not torn.
  *
- * Layout: nonce of the segment (8 bytes), number in the segment (4), body length (4), CRC-32 of the body (4),
- * CRC-32 of the header (4), body. A frame without body seals what stands before it.
+ * Layout: nonce of the segment (8 bytes), sequence number in the segment (4), body length (4), CRC-32 of the body (4),
+ * CRC-32 of the header (4), body. An empty frame seals those before it: damage to them is no longer
+ * taken for a torn write.
  */
 import { crc32 } from 'node:zlib'
 
@@ -21,7 +22,7 @@
   return Buffer.concat([header, body])
 }
 
-/** The body of the frame at `offsetBytes`; undefined where it is not whole or not the one expected. */
+/** Returns the body of the frame at `offsetBytes`; undefined if it is incomplete, invalid or not number `sequence`. */
 export function decodeFrame(
   bytes: Buffer,
   offsetBytes: number,
@@ -35,7 +36,7 @@
   return crc32(body) === bytes.readUInt32BE(offsetBytes + 16) ? body : undefined
 }
 
-/** Where the header of a frame later than `sequence` stands after `offsetBytes`, if anywhere. */
+/** Returns the offset of a valid frame header after `offsetBytes` with a number above `sequence`, or undefined. */
 export function findLaterFrame(
   bytes: Buffer,
   offsetBytes: number,
--- a/storage/log/src/index.ts
+++ b/storage/log/src/index.ts
@@ -1,4 +1,4 @@
-/** The durable log of one instance: segments, term and vote, snapshots, disk identity. */
+/** Durable storage of one instance: log segments, term and vote, snapshots, disk identity. */
 export { FileLogStore, type FileLogStoreOptions } from './fileLogStore.js'
 export { FileSystem, OpenFile } from './fileSystem.js'
 export {
--- a/storage/log/src/logChange.ts
+++ b/storage/log/src/logChange.ts
@@ -1,17 +1,17 @@
-/** A change of the log that shows in memory at once and becomes durable with the next frame. */
+/** Log changes that apply to the in-memory index at once and become durable when their frame is synced. */
 import type { LogEntry } from './logStore.js'
 import type { LogIndex } from './logIndex.js'
 import { encodeRecord } from './logRecord.js'
 import type { Segment } from './segment.js'
 
 export interface LogChange {
-  /** Its records, encoded. */
+  /** The encoded records. */
   readonly body: Buffer
-  /** The index that follows once the change is durable. */
+  /** Index of the next entry after this change. */
   readonly nextIndex: number
-  /** Told where its body stands once it is durable. */
+  /** Called once the body is durable at this offset; points the index at the records on disk. */
   readonly markDurable: (segment: Segment, offsetBytes: number) => void
-  /** Takes it back in memory; the last change made is undone first. */
+  /** Reverts the in-memory index. Changes are undone newest first. */
   readonly undo: () => void
 }
 
--- a/storage/log/src/logIndex.ts
+++ b/storage/log/src/logIndex.ts
@@ -1,4 +1,4 @@
-/** Where each entry of the log is: in a segment, or still in memory on its way there. */
+/** In-memory index of the log: the place of each entry, in a segment or in memory until it is durable. */
 import type { Segment } from './segment.js'
 
 export interface IndexedEntry {
@@ -35,13 +35,13 @@
     for (const entry of entries) this.#entries.push(entry)
   }
 
-  /** Removes the entry at `index` and all after it, and gives them back. */
+  /** Removes the entry at `index` and all after it, and returns them. */
   truncateFrom(index: number): IndexedEntry[] {
     if (index < this.#firstIndex) this.#firstIndex = index
     return this.#entries.splice(index - this.#firstIndex)
   }
 
-  /** Forgets the entries in front that stand in `segment`. */
+  /** Drops the leading entries that are stored in `segment`. */
   dropSegment(segment: Segment): void {
     const kept = this.#entries.findIndex((entry) => !isInSegment(entry, segment))
     const dropped = kept === -1 ? this.#entries.length : kept
--- a/storage/log/src/logRecord.ts
+++ b/storage/log/src/logRecord.ts
@@ -1,8 +1,9 @@
 /**
- * One record of a segment: an entry, or the removal of all entries from an index on. Removals are records
- * too, so that a segment is only ever added to.
+ * One record of a segment: an entry, or the truncation of the log from an index on. Truncations are records
+ * too, so that segments are append-only.
  *
- * Layout: kind (1 byte), index (6), term (6), payload length (4), CRC-32 of all else (4), payload.
+ * Layout: kind (1 byte), index (6), term (6), payload length (4), CRC-32 of the fields before and
+ * the payload (4), payload.
  */
 import { crc32 } from 'node:zlib'
 
@@ -27,7 +28,7 @@
   return Buffer.concat([header, record.payload])
 }
 
-/** Undefined where the bytes are not a whole record. */
+/** Returns undefined if the bytes do not begin with a complete, valid record. */
 export function decodeRecord(bytes: Buffer): LogRecord | undefined {
   if (bytes.length < recordHeaderBytes) return undefined
   const kind = kinds[bytes.readUInt8(0)]
--- a/storage/log/src/logStore.ts
+++ b/storage/log/src/logStore.ts
@@ -1,7 +1,7 @@
 /**
- * What agreement needs of one instance's disk. Nothing counts until the promise of the call that wrote it
- * has resolved: by then it is synced. After a failed sync every later write is refused, since what the disk
- * holds is no longer known.
+ * Durable storage that consensus needs on each instance. A write is synced when the promise of its call
+ * resolves, and must not be relied on before. After a failed sync every later write is refused, because the
+ * contents of the disk are no longer known.
  */
 
 /** One entry of the log. Indexes count from 1 without gaps. */
@@ -11,17 +11,17 @@
   readonly payload: Buffer
 }
 
-/** The term and vote that must outlive a restart. */
+/** Term and vote, which must survive a restart. */
 export interface HardState {
   readonly term: number
   readonly votedFor: string | undefined
 }
 
-/** A snapshot stands for all entries up to and including `index`. */
+/** Metadata of a snapshot, which covers all entries up to and including `index`. */
 export interface SnapshotMeta {
   readonly index: number
   readonly term: number
-  /** The membership in force at `index`, in the form agreement gives it. */
+  /** The membership in force at `index`, as encoded by the consensus code. */
   readonly membership: unknown
 }
 
@@ -31,30 +31,30 @@
 }
 
 export abstract class LogStore {
-  /** Random, made with the data folder: an instance back on an empty disk has another one. */
+  /** Random, created with the data folder: an instance that restarts on an empty disk gets a new one. */
   abstract readonly diskId: string
   abstract readonly hardState: HardState
-  /** Meta of the newest snapshot; index 0 and term 0 where there is none. */
+  /** Metadata of the newest snapshot; index 0 and term 0 if there is none. */
   abstract readonly snapshotMeta: SnapshotMeta
-  /** Index of the first entry held; `lastIndex + 1` where none is held. */
+  /** Index of the first entry held; `lastIndex + 1` if none is held. */
   abstract readonly firstIndex: number
-  /** Index of the last entry held, or of the snapshot where none is held. */
+  /** Index of the last entry held, or of the snapshot if none is held. */
   abstract readonly lastIndex: number
-  /** Term of the last entry held, or of the snapshot. */
+  /** Term of the last entry held, or of the snapshot if none is held. */
   abstract readonly lastTerm: number
 
-  /** Term of an entry held or of the snapshot's last one; undefined outside. */
+  /** Term of an entry held, or of the last entry that the snapshot covers; undefined for any other index. */
   abstract termAt(index: number): number | undefined
-  /** Entries from `fromIndex` on, at least one where it is held, then up to `bytesMax` of payload. */
+  /** Reads entries from `fromIndex` on, up to `bytesMax` of payload in total, but at least one if it is held. */
   abstract read(fromIndex: number, bytesMax: number): Promise<LogEntry[]>
-  /** Appends entries that follow `lastIndex`. Calls in progress together share one sync. Rejects with `disk-full` or `storage-failed`. */
+  /** Appends after `lastIndex`; concurrent calls share one sync. Rejects with `disk-full` or `storage-failed`. */
   abstract append(entries: readonly LogEntry[]): Promise<void>
   /** Removes the entry at `index` and all after it. */
   abstract truncateFrom(index: number): Promise<void>
   abstract saveHardState(state: HardState): Promise<void>
-  /** Keeps a snapshot and drops the entries it stands for, all but the newest `keepEntries`. */
+  /** Saves a snapshot and compacts the log: entries that it covers may be dropped, except the newest `keepEntries`. */
   abstract saveSnapshot(snapshot: Snapshot, keepEntries: number): Promise<void>
-  /** Replaces everything by a snapshot received from a leader. */
+  /** Replaces the log and the snapshot by a snapshot received from a leader. */
   abstract installSnapshot(snapshot: Snapshot): Promise<void>
   abstract readSnapshot(): Promise<Snapshot | undefined>
   abstract close(): Promise<void>
--- a/storage/log/src/nodeFileSystem.ts
+++ b/storage/log/src/nodeFileSystem.ts
@@ -1,4 +1,4 @@
-/** The machine's file system, by `node:fs`. */
+/** The operating system's file system, through `node:fs`. */
 import { mkdir, open, readFile, readdir, rename, unlink, type FileHandle } from 'node:fs/promises'
 import { FileSystem, OpenFile } from './fileSystem.js'
 import { isProcessAlive, readProcessToken } from './processToken.js'
--- a/storage/log/src/processToken.ts
+++ b/storage/log/src/processToken.ts
@@ -1,6 +1,6 @@
 /**
- * Names one life of one process: its id, when it started, and the boot it started in. Where the machine does
- * not tell the latter two, the id alone has to do.
+ * A token that identifies one process even after its process id is reused: process id, start time and boot id.
+ * If the machine does not provide start time and boot id, the token rests on the process id alone.
  */
 import { readFile } from 'node:fs/promises'
 
@@ -18,7 +18,7 @@
   return (await readProcessToken(pid)) === token
 }
 
-/** The fields after the command, which stands in brackets and may hold blanks. */
+/** Splits the fields after the command name only, which is in parentheses and may contain spaces. */
 async function readStartTicks(pid: number): Promise<string> {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8').catch(() => '')
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ')
--- a/storage/log/src/readEntries.ts
+++ b/storage/log/src/readEntries.ts
@@ -1,4 +1,4 @@
-/** Reads entries by their place, one file read for each run of entries in one segment. */
+/** Reads entries with one file read for each run of consecutive entries in the same segment. */
 import type { IndexedEntry, LogIndex } from './logIndex.js'
 import { decodeRecord, recordHeaderBytes } from './logRecord.js'
 import type { LogEntry } from './logStore.js'
@@ -10,7 +10,7 @@
   readonly entry: IndexedEntry
 }
 
-/** All reads start at once, so that none meets a segment that was removed meanwhile. */
+/** Starts all reads at once, so that no segment is removed before its read starts. */
 export async function readEntries(
   log: LogIndex,
   fromIndex: number,
--- a/storage/log/src/recoverFolder.ts
+++ b/storage/log/src/recoverFolder.ts
@@ -1,4 +1,4 @@
-/** Brings a data folder back to what was last durable, or refuses it. */
+/** Recovers the last durable state of a data folder, or rejects if the folder is damaged. */
 import path from 'node:path'
 import type { Logger } from '@nettlespur/core.logger'
 import { createFolder } from './createFolder.js'
@@ -29,7 +29,7 @@
   readonly log: RecoveredLog
 }
 
-/** What it finds counts as durable afterwards: names and contents are synced before it resolves. */
+/** Everything that it returns is durable: names and contents are synced before it resolves. */
 export async function recoverFolder(opts: RecoverFolderOptions): Promise<RecoveredFolder> {
   const { files, folder } = opts
   await files.syncFolder(folder)
@@ -53,7 +53,7 @@
   return { diskId, hardState: { term, votedFor }, base, log }
 }
 
-/** Cuts a torn tail and seals the log; makes the first segment where a crash came before it. */
+/** Truncates a torn tail and seals the log. Creates the first segment if a crash came before its creation. */
 async function repairLogTail(
   opts: RecoverFolderOptions,
   { generation }: RecoveredSnapshot,
@@ -73,7 +73,7 @@
   await last.seal()
 }
 
-/** Files that a crash left before they got their name. */
+/** Lists temporary files that were left by a crash before they were renamed. */
 async function listTempFiles({ files, folder }: RecoverFolderOptions): Promise<string[]> {
   const names = await files.listFolder(folder)
   return names.filter((name) => name.endsWith(tempSuffix)).map((name) => path.join(folder, name))
--- a/storage/log/src/recoverLog.ts
+++ b/storage/log/src/recoverLog.ts
@@ -1,4 +1,4 @@
-/** Reads all segments of the generation in force back into an index, checking that none and no entry is missing. */
+/** Rebuilds the index from the segments of the current generation; checks that no segment or entry is missing. */
 import path from 'node:path'
 import type { FileSystem } from './fileSystem.js'
 import { LogIndex } from './logIndex.js'
@@ -18,7 +18,7 @@
   readonly index: LogIndex
   readonly segments: Segment[]
   readonly tornTail: TornTail | undefined
-  /** Segments of generations that are over. */
+  /** Segments of older generations, which are obsolete. */
   readonly voidFiles: readonly string[]
 }
 
@@ -29,7 +29,7 @@
   readonly base: RecoveredSnapshot
 }
 
-/** Throws `storage-damaged`, with file and byte offset; changes nothing on disk. */
+/** Rejects with `storage-damaged`, with file and byte offset; changes nothing on disk. */
 export async function recoverLog(opts: RecoverLogOptions): Promise<RecoveredLog> {
   const { base, folder } = opts
   const ids = opts.names.flatMap((name) => parseSegmentName(name) ?? [])
@@ -51,7 +51,7 @@
   }
 }
 
-/** Opens each segment into `segments` and its entries into `index`. */
+/** Opens all segments, adding them to `segments` and replaying their records into `index`. */
 async function replayAll(
   { files, folder }: RecoverLogOptions,
   ids: readonly SegmentId[],
@@ -72,7 +72,10 @@
   return tornTail
 }
 
-/** A generation begins with a snapshot that was installed; segments of it exist from then on. */
+/**
+ * Every generation after the first begins with an installed snapshot. Its first segment gets its name after that
+ * snapshot, so a crash in between leaves a generation without segments.
+ */
 function checkNoSegmentMissing(opts: RecoverLogOptions, current: readonly SegmentId[]): void {
   const { generation, snapshot } = opts.base
   const strayId = current.find((id) => id.generation > generation)
@@ -104,18 +107,18 @@
   index.append([{ term: record.term, place: { segment, offsetBytes, lengthBytes } }])
 }
 
-/** The log must join up with the snapshot, and reach as far as every snapshot ever made. */
+/** Checks that the log continues the snapshot without a gap and reaches every snapshot, also a damaged one. */
 function checkCoversSnapshots(opts: RecoverLogOptions, index: LogIndex): void {
   const { snapshot, damaged } = opts.base
   const baseIndex = snapshot?.meta.index ?? 0
   const lastIndex = index.nextIndex - 1
   if (damaged !== undefined && lastIndex < damaged.index) {
-    throw damagedError(damaged.file, 0, 'bad snapshot, and the log does not reach as far')
+    throw damagedError(damaged.file, 0, 'invalid snapshot, and the log ends before its index')
   }
   if (index.firstIndex > baseIndex + 1 || lastIndex < baseIndex) {
     const held = `${index.firstIndex} to ${lastIndex}`
     const file = damaged?.file ?? opts.folder
-    throw damagedError(file, 0, `log holds ${held}, snapshot stands for ${baseIndex}`)
+    throw damagedError(file, 0, `log holds ${held}, snapshot covers up to ${baseIndex}`)
   }
 }
 
--- a/storage/log/src/recoverSnapshot.ts
+++ b/storage/log/src/recoverSnapshot.ts
@@ -1,6 +1,6 @@
 /**
- * Picks the newest snapshot that is whole. A snapshot gets its name only once it is synced, so one that does
- * not read back is damage; an older one may stand in for it only where the log still reaches as far.
+ * Selects the newest valid snapshot. A snapshot is renamed to its final name only after it is synced, so an
+ * invalid one is damaged, not torn; an older one may replace it only if the log still reaches its index.
  */
 import path from 'node:path'
 import type { FileSystem } from './fileSystem.js'
@@ -16,9 +16,9 @@
 export interface RecoveredSnapshot {
   readonly generation: number
   readonly snapshot: StoredSnapshot | undefined
-  /** The newest of those that do not read back. */
+  /** The newest snapshot, if it is invalid. */
   readonly damaged: { readonly file: string; readonly index: number } | undefined
-  /** Files that the chosen one makes void. */
+  /** Older snapshot files, which are obsolete. */
   readonly voidFiles: readonly string[]
 }
 
--- a/storage/log/src/scanSegment.ts
+++ b/storage/log/src/scanSegment.ts
@@ -1,4 +1,4 @@
-/** Reads all records of one segment, and tells a torn tail from damage. */
+/** Reads all records of one segment, and distinguishes a torn tail from damage. */
 import { decodeFrame, findLaterFrame, frameHeaderBytes } from './frame.js'
 import { decodeRecord, recordHeaderBytes, type LogRecord } from './logRecord.js'
 import { readNonce, segmentHeaderBytes, type SegmentId } from './segmentHeader.js'
@@ -14,7 +14,7 @@
   readonly nonce: Buffer
   readonly records: readonly ScannedRecord[]
   readonly frames: number
-  /** Where the last whole frame ends; what follows is a torn write. */
+  /** End of the last valid frame; any bytes after it are a torn tail. */
   readonly endBytes: number
 }
 
@@ -22,7 +22,7 @@
   readonly bytes: Buffer
   readonly file: string
   readonly id: SegmentId
-  /** Only the last segment may end in a torn write: all others were synced before the next was made. */
+  /** Only the last segment may have a torn tail: every other one was synced before the next was created. */
   readonly isLast: boolean
 }
 
@@ -30,7 +30,7 @@
 export function scanSegment(opts: ScanSegmentOptions): SegmentScan {
   const { bytes, file } = opts
   const nonce = readNonce(bytes, opts.id)
-  if (nonce === undefined) throw damagedError(file, 0, 'bad segment head')
+  if (nonce === undefined) throw damagedError(file, 0, 'invalid segment header')
   const records: ScannedRecord[] = []
   let frames = 0
   let endBytes = segmentHeaderBytes
--- a/storage/log/src/segment.ts
+++ b/storage/log/src/segment.ts
@@ -1,4 +1,4 @@
-/** One open segment. Frames are added at its end and synced one by one; records are read by their place. */
+/** One open segment. Each frame is appended and synced before the next; records are read by their offset. */
 import { randomBytes } from 'node:crypto'
 import path from 'node:path'
 import type { FileSystem, OpenFile } from './fileSystem.js'
@@ -13,7 +13,7 @@
 import { toUnrecoverableError, toStorageError } from './storageErrors.js'
 import { prepareFile } from './writeAside.js'
 
-/** A segment that has its room on the disk, and no name yet. */
+/** A segment whose header is written under a temporary name; `place` renames it to its final name. */
 export interface PreparedSegment {
   place(): Promise<Segment>
   discard(): Promise<void>
@@ -45,7 +45,7 @@
     return (await Segment.prepare(files, folder, id)).place()
   }
 
-  /** Its head is synced before it gets its name: a segment is never seen without a whole head. */
+  /** The header is synced before the file gets its final name, so that no named segment has an incomplete header. */
   static async prepare(files: FileSystem, folder: string, id: SegmentId): Promise<PreparedSegment> {
     const nonce = randomBytes(nonceBytes)
     const filePath = path.join(folder, nameSegment(id))
@@ -70,17 +70,17 @@
     return this.#sizeBytes
   }
 
-  /** Above the index of every entry that stands in it, also of those removed since. */
+  /** Greater than the index of every entry stored in the segment, including those truncated since. */
   get nextIndex(): number {
     return this.#nextIndex
   }
 
-  /** Whether a frame of `bodyBytes` would make a segment that holds one already larger than `limitBytes`. */
+  /** Whether a frame of `bodyBytes` would make the segment larger than `limitBytes`; false if it has no frame yet. */
   isFullFor(bodyBytes: number, limitBytes: number): boolean {
     return this.#frames > 0 && this.#sizeBytes + frameHeaderBytes + bodyBytes > limitBytes
   }
 
-  /** Writes and syncs one frame, whose entries are below `nextIndex`; resolves to where its body begins. */
+  /** Writes and syncs one frame, whose entries are below `nextIndex`. Resolves to the offset of its body. */
   async writeFrame(body: Buffer, nextIndex = 0): Promise<number> {
     this.#nextIndex = Math.max(this.#nextIndex, nextIndex)
     const frame = encodeFrame(this.#nonce, this.#frames, body)
@@ -93,14 +93,14 @@
     return offsetBytes
   }
 
-  /** After it, damage to any record that stands in the segment now is told from a torn write. */
+  /** Appends an empty frame, so that damage to any record before it can no longer be taken for a torn write. */
   async seal(): Promise<void> {
     if (!this.#sealed) await this.writeFrame(Buffer.alloc(0))
   }
 
   /**
-   * Cuts what follows the last whole frame, and syncs that frame, which a process that died may not have:
-   * otherwise a frame written after it could outlive it.
+   * Truncates everything after the last valid frame, and syncs that frame, because the process that wrote it may
+   * have died before its sync: otherwise a crash could lose this frame and keep one written after it.
    */
   async cutTail(): Promise<void> {
     await this.#file.truncate(this.#sizeBytes)
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Where it failed, the next one may pass without what this one was for. */
+  /** After a failed sync the next one may succeed without having written the lost data, so the failure is final. */
   async #sync(): Promise<void> {
     try {
       await this.#file.sync()
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Closes the file, once reads in progress have ended. */
+  /** Closes the file once reads in progress have ended. */
   async retire(): Promise<void> {
     if (this.#retired) return
     this.#retired = true
--- a/storage/log/src/segmentHeader.ts
+++ b/storage/log/src/segmentHeader.ts
@@ -1,6 +1,6 @@
 /**
- * The head and the name of a segment. A segment belongs to a generation, which rises with each installed
- * snapshot and makes all older segments void, and has a number without gaps within it.
+ * Header and file name of a segment. Each installed snapshot starts a new generation, which makes the segments of
+ * older generations obsolete. Within a generation, segments are numbered without gaps.
  *
  * Layout: magic (8 bytes), generation (6), number (6), first index (6), nonce (8), CRC-32 of all before (4).
  */
@@ -15,12 +15,12 @@
 export interface SegmentId {
   readonly generation: number
   readonly number: number
-  /** Index of the entry that follows when the segment is made. */
+  /** Index of the next entry at the time the segment is created. */
   readonly firstIndex: number
 }
 
 export interface SegmentHeader extends SegmentId {
-  /** Random, so that no payload holds what looks like a frame of this segment. */
+  /** Random, so that no payload contains bytes that look like a frame of this segment. */
   readonly nonce: Buffer
 }
 
@@ -48,7 +48,7 @@
   return bytes
 }
 
-/** The nonce; undefined where the head is damaged or belongs to another segment. */
+/** Returns the nonce; undefined if the header is damaged or belongs to another segment. */
 export function readNonce(bytes: Buffer, id: SegmentId): Buffer | undefined {
   const nonce = Buffer.from(bytes.subarray(26, 26 + nonceBytes))
   if (nonce.length < nonceBytes) return undefined
--- a/storage/log/src/segmentedLog.ts
+++ b/storage/log/src/segmentedLog.ts
@@ -1,6 +1,6 @@
 /**
- * The segments of one data folder, oldest first. Only the last one is written to; when it is full a new one
- * follows. Compaction removes from the front, so that what is left has no gap after a crash at any step.
+ * The segments of one data folder, oldest first. Only the last one is written to; when it is full, a new one is
+ * created. Compaction removes the oldest first, so that a crash at any step leaves no gap.
  */
 import type { FileSystem } from './fileSystem.js'
 import type { LogChange } from './logChange.js'
@@ -13,7 +13,7 @@
   readonly segmentBytesMax: number
   /** At least one. */
   readonly segments: Segment[]
-  /** The index of the next entry, as it stands on disk. */
+  /** Index of the next entry, counting durable changes only. */
   readonly nextIndex: number
 }
 
@@ -57,8 +57,9 @@
   }
 
   /**
-   * Leaves all segments behind for the first one of another generation, which `putInForce` makes the one that
-   * counts. The segment has its room before that: without it what came next would go to a segment that is void.
+   * Replaces all segments by the first one of a new generation, which `commitGeneration` makes the current one.
+   * The new segment is written to disk before that: if the disk were full afterwards, later writes would go to
+   * an obsolete segment.
    */
   async startGeneration(
     generation: number,
@@ -79,7 +80,7 @@
     for (const segment of former) await this.#remove(segment)
   }
 
-  /** Cuts what a refused write left behind the last frame. */
+  /** Truncates what a failed write left after the last frame. */
   async cutTail(): Promise<void> {
     await this.#segments.at(-1)?.cutTail()
   }
@@ -94,7 +95,7 @@
 
   async #pickSegment(bodyBytes: number): Promise<Segment> {
     const last = this.#segments.at(-1)
-    if (last === undefined) throw new Error('a log without segments')
+    if (last === undefined) throw new Error('the log has no segments')
     if (!last.isFullFor(bodyBytes, this.#opts.segmentBytesMax)) return last
     const { generation, number } = last.id
     const next = await this.#create({ generation, number: number + 1, firstIndex: this.#nextIndex })
--- a/storage/log/src/smallFile.ts
+++ b/storage/log/src/smallFile.ts
@@ -1,6 +1,6 @@
 /**
- * Small files of one JSON value under a checksum: the disk identity and the hard state. A field of a newer version is
- * refused as damage is: a promise that it stands for would be broken unknowingly.
+ * Small files that hold one JSON value with a checksum: the disk identity and the hard state. An unknown field,
+ * as a newer version may write it, is refused like damage: ignoring it could break a guarantee that it records.
  */
 import path from 'node:path'
 import { crc32 } from 'node:zlib'
@@ -31,7 +31,7 @@
   return writeAside(files, path.join(folder, name), Buffer.from(JSON.stringify(envelope)))
 }
 
-/** Rejects with `storage-damaged` where the file is not as written, or not as this version writes it. */
+/** Rejects with `storage-damaged` if the checksum is wrong or the content does not match the schema. */
 export async function readSmallFile<T>(
   files: FileSystem,
   folder: string,
@@ -41,10 +41,10 @@
   const file = path.join(folder, name)
   const bytes = await files.readFile(file)
   const envelope = envelopeSchema.safeParse(parseJson(bytes.toString()))
-  if (!envelope.success) throw damagedError(file, 0, 'not readable')
+  if (!envelope.success) throw damagedError(file, 0, 'not valid JSON with a checksum')
   if (crc32(envelope.data.value) !== envelope.data.crc) throw damagedError(file, 0, 'bad checksum')
   const content = schema.safeParse(parseJson(envelope.data.value))
-  if (!content.success) throw damagedError(file, 0, `other content: ${content.error.message}`)
+  if (!content.success) throw damagedError(file, 0, `unexpected content: ${content.error.message}`)
   return content.data
 }
 
--- a/storage/log/src/snapshotFile.ts
+++ b/storage/log/src/snapshotFile.ts
@@ -1,7 +1,8 @@
 /**
- * A snapshot as one file, under one checksum. Its name tells the generation of segments it goes with.
+ * Encoding of a snapshot as one file with one checksum. The file name contains the generation of the segments that
+ * continue the snapshot.
  *
- * Layout: magic (8 bytes), head length (4), head as JSON, data, CRC-32 of all before (4).
+ * Layout: magic (8 bytes), header length (4), header as JSON, data, CRC-32 of all before (4).
  */
 import { crc32 } from 'node:zlib'
 import { z } from 'zod'
@@ -54,7 +55,7 @@
   return Buffer.concat([...parts, crc])
 }
 
-/** Undefined where the file is not as written, is another's, or of a newer version. */
+/** Returns undefined if the file is damaged, does not match `id`, or has a header that this version cannot parse. */
 export function decodeSnapshot(bytes: Buffer, id: SnapshotId): StoredSnapshot | undefined {
   const crcOffset = bytes.length - crcBytes
   if (crcOffset < headOffset || !bytes.subarray(0, magic.length).equals(magic)) return undefined
--- a/storage/log/src/snapshotFolder.ts
+++ b/storage/log/src/snapshotFolder.ts
@@ -1,4 +1,4 @@
-/** The snapshots of one data folder: the newest one, and for a moment the one before. */
+/** The snapshots of one data folder: the newest one and, until it is removed, the one before. */
 import path from 'node:path'
 import type { FileSystem } from './fileSystem.js'
 import type { Snapshot, SnapshotMeta } from './logStore.js'
@@ -45,12 +45,12 @@
     await this.removeOlderSnapshots()
   }
 
-  /** Older ones stay until `removeFormer`. */
+  /** Keeps older snapshots until `removeOlderSnapshots` is called. */
   async install(snapshot: Snapshot): Promise<void> {
     await this.#write({ ...snapshot, generation: this.#generation + 1, installed: true })
   }
 
-  /** Begins anew where a newer snapshot took the place of the one being read. */
+  /** Starts again if the read failed and a newer snapshot has replaced the one being read. */
   async read(): Promise<Snapshot | undefined> {
     for (;;) {
       const [meta, generation] = [this.#meta, this.#generation]
--- a/storage/log/src/writeAside.ts
+++ b/storage/log/src/writeAside.ts
@@ -1,13 +1,13 @@
-/** Replaces a file as a whole: after a crash at any step either the old or the new one is there. */
+/** Replaces files atomically by renaming a temporary file: a crash at any step leaves the old or the new one. */
 import path from 'node:path'
 import type { FileSystem, OpenFile } from './fileSystem.js'
 import { toUnrecoverableError } from './storageErrors.js'
 
 export const tempSuffix = '.tmp'
 
-/** A file whose content is synced and which has no name yet: to give it one takes no room for content. */
+/** A file that is written and synced under a temporary name, so that renaming it needs no disk space for content. */
 export interface PreparedFile {
-  /** Gives it its name, and leaves it open. */
+  /** Renames the file to its final name, and returns it open. */
   place(): Promise<OpenFile>
   discard(): Promise<void>
 }
@@ -16,7 +16,7 @@
   await (await createSyncedFile(files, file, bytes)).close()
 }
 
-/** As `writeAside`, and leaves the file open. */
+/** Like `writeAside`, but leaves the file open. */
 export async function createSyncedFile(
   files: FileSystem,
   file: string,
@@ -34,7 +34,7 @@
   const opened = await files.createFile(aside)
   const discard = async (): Promise<void> => {
     await opened.close().catch(() => undefined)
-    // A disk that refused the bytes may take them later, under the same name.
+    // Frees the temporary name: after a full disk the same write may be tried again.
     await files.removeFile(aside).catch(() => undefined)
   }
   const discardOnError = async (step: () => Promise<void>): Promise<void> => {
@@ -58,7 +58,7 @@
   return { place, discard }
 }
 
-/** Where such a step fails, it is not known which file is there after a crash. */
+/** Makes a failure final: after a failed sync or rename it is unknown which file a crash would leave. */
 async function rethrowUnrecoverable(step: () => Promise<void>): Promise<void> {
   try {
     await step()
