--- a/storage/log/src/commitQueue.ts
+++ b/storage/log/src/commitQueue.ts
@@ -33,7 +33,7 @@
   #waiting: QueuedWrite[] = []
   #running: Promise<void> | undefined
   #failure: NettlespurError | undefined
-  #refused = 0
+  #rejectedCount = 0
 
   constructor(opts: CommitQueueOptions) {
     this.#opts = opts
@@ -41,7 +41,7 @@
 
   /** Whether the last write failed because the disk was full. */
   get isFull(): boolean {
-    return this.#refused > 0
+    return this.#rejectedCount > 0
   }
 
   /** The error that stopped the queue; undefined while it accepts writes. */
@@ -78,17 +78,17 @@
       const [first] = works
       if (typeof first === 'function') await first()
       else await this.#opts.write(works.filter((work) => typeof work !== 'function'))
-      this.#noteRoom()
+      this.#logResumed()
       for (const { resolve } of batch) resolve()
     } catch (error) {
-      this.#refuse(batch, toStorageError(error))
+      this.#failBatch(batch, toStorageError(error))
     }
   }
 
-  #noteRoom(): void {
+  #logResumed(): void {
     if (!this.isFull) return
-    this.#opts.logger.info({ event: 'storage.resumed', refused: this.#refused })
-    this.#refused = 0
+    this.#opts.logger.info({ event: 'storage.resumed', refused: this.#rejectedCount })
+    this.#rejectedCount = 0
   }
 
   /** Dequeues either one write that runs alone, or as many log changes as fit into a batch. */
@@ -105,7 +105,7 @@
     return this.#waiting.splice(0, count)
   }
 
-  #refuse(batch: QueuedWrite[], failure: NettlespurError): void {
+  #failBatch(batch: QueuedWrite[], failure: NettlespurError): void {
     const { kind, message: reason } = failure
     const isFinal = kind !== 'disk-full'
     if (isFinal) this.#failure = failure
@@ -113,7 +113,7 @@
     else if (!this.isFull) this.#opts.logger.warn({ event: 'storage.full', reason })
     const lost = [...batch, ...this.#waiting]
     this.#waiting = []
-    if (!isFinal) this.#refused += lost.length
+    if (!isFinal) this.#rejectedCount += lost.length
     for (const { work } of lost.toReversed()) {
       if (typeof work !== 'function') work.undo()
     }
--- a/storage/log/src/fileLogStore.ts
+++ b/storage/log/src/fileLogStore.ts
@@ -59,8 +59,8 @@
   #index: LogIndex
   #hardState: HardState
   /** Truncation is refused up to this index, because a snapshot that is saved or queued covers these entries. */
-  #snapshotIndexAsked: number
-  #installing = false
+  #requestedSnapshotIndex: number
+  #isInstalling = false
   #closed: Promise<void> | undefined
 
   private constructor({ opts, files, lock, recovered }: FileLogStoreParts) {
@@ -73,7 +73,7 @@
     this.#hardState = recovered.hardState
     this.#index = log.index
     this.#snapshots = new SnapshotFolder({ files, folder: opts.folder, base })
-    this.#snapshotIndexAsked = this.snapshotMeta.index
+    this.#requestedSnapshotIndex = this.snapshotMeta.index
     this.#log = new SegmentedLog({
       files,
       folder: opts.folder,
@@ -162,7 +162,7 @@
   async truncateFrom(index: number): Promise<void> {
     this.#checkLogWritable()
     if (index > this.lastIndex) return this.#waitForEarlier()
-    assertValidCall(index > this.#snapshotIndexAsked, `a snapshot covers entry ${index}`)
+    assertValidCall(index > this.#requestedSnapshotIndex, `a snapshot covers entry ${index}`)
     await this.#queue.add(truncateEntries(this.#index, index))
   }
 
@@ -178,16 +178,16 @@
   async saveSnapshot(snapshot: Snapshot, keepEntries: number): Promise<void> {
     this.#checkWritable()
     const { index, term } = snapshot.meta
-    if (this.#installing || index <= this.#snapshotIndexAsked) return this.#waitForEarlier()
+    if (this.#isInstalling || index <= this.#requestedSnapshotIndex) return this.#waitForEarlier()
     assertValidCall(this.termAt(index) === term, `no entry ${index} of term ${term} to snapshot`)
-    this.#snapshotIndexAsked = index
+    this.#requestedSnapshotIndex = index
     try {
       await this.#queue.add(async () => {
         await this.#snapshots.save(snapshot)
         await this.#log.compact(this.#index, index - keepEntries + 1)
       })
     } catch (error) {
-      this.#snapshotIndexAsked = this.snapshotMeta.index
+      this.#requestedSnapshotIndex = this.snapshotMeta.index
       throw error
     }
   }
@@ -195,11 +195,11 @@
   /** Until it resolves, appends and truncations are refused. */
   async installSnapshot(snapshot: Snapshot): Promise<void> {
     this.#checkLogWritable()
-    this.#installing = true
+    this.#isInstalling = true
     try {
       await this.#queue.add(() => this.#install(snapshot))
     } finally {
-      this.#installing = false
+      this.#isInstalling = false
     }
   }
 
@@ -218,7 +218,7 @@
     await this.#log.startGeneration(this.#snapshots.generation + 1, index + 1, async () => {
       await this.#snapshots.install(snapshot)
       this.#index = new LogIndex(index + 1)
-      this.#snapshotIndexAsked = index
+      this.#requestedSnapshotIndex = index
     })
     await this.#snapshots.removeOlderSnapshots()
   }
@@ -245,6 +245,6 @@
 
   #checkLogWritable(): void {
     this.#checkWritable()
-    assertValidCall(!this.#installing, 'a snapshot is being installed')
+    assertValidCall(!this.#isInstalling, 'a snapshot is being installed')
   }
 }
