--- a/storage/log/src/fileLogStore.ts
+++ b/storage/log/src/fileLogStore.ts
@@ -31,7 +31,7 @@
   readonly folder: string
   readonly clock: Clock
   readonly logger: Logger
-  /** True by default. False only if one process runs at a time and cannot see that the one before ended. */
+  /** Whether to lock the folder; true by default. False if the platform runs one process at a time and hides others. */
   readonly locksFolder?: boolean
   /** The operating system's file system by default. */
   readonly files?: FileSystem
