--- a/storage/log/src/commitQueue.ts
+++ b/storage/log/src/commitQueue.ts
@@ -1,9 +1,11 @@
 /**
- * Puts all writes of one store in one line. Changes of the log that wait together become one frame, and so
- * share one write and one sync; other writes run by themselves, in their turn. A write that fails stops the
- * line for good: it and all that wait or come later get the same error, and changes not yet durable are
- * undone in memory. A full disk refuses only it and what waits: later writes are tried again, since a member
- * that stayed away after 0.5 s without room, five of them one after the other, left a group without a leader.
+ * Runs all writes of one store one after the other. Log changes that are queued together are written as one
+ * frame, with one write and one sync (group commit); any other write runs alone, in queue order.
+ *
+ * A failed write stops the queue for good: that write, all queued ones and all later ones reject with the same
+ * error, and log changes that are not yet durable are undone in memory. A full disk rejects only that write and
+ * the queued ones, and later writes are tried again: when members stopped for good after 0.5 s without disk
+ * space, five of them doing so in turn left the group without a leader.
  */
 import type { NettlespurError } from '@nettlespur/core.errors'
 import type { Logger } from '@nettlespur/core.logger'
@@ -12,15 +14,15 @@
 
 export interface CommitQueueOptions {
   readonly logger: Logger
-  /** A batch takes no further change once it holds as many bytes. */
+  /** Maximum size of a batch of several changes; a larger change is written alone. */
   readonly batchBytesMax: number
-  /** Makes the changes durable, as a whole. */
+  /** Writes the changes as one frame and syncs it. */
   readonly write: (changes: readonly LogChange[]) => Promise<void>
-  /** Removes what a write that a full disk refused has left. */
+  /** Truncates the bytes left behind by a write that failed on a full disk. */
   readonly cutTail: () => Promise<void>
 }
 
-interface Waiting {
+interface QueuedWrite {
   readonly work: LogChange | (() => Promise<void>)
   readonly resolve: () => void
   readonly reject: (error: NettlespurError) => void
@@ -28,21 +30,21 @@
 
 export class CommitQueue {
   readonly #opts: CommitQueueOptions
-  #waiting: Waiting[] = []
+  #waiting: QueuedWrite[] = []
   #running: Promise<void> | undefined
   #failure: NettlespurError | undefined
-  #refused = 0
+  #rejectedCount = 0
 
   constructor(opts: CommitQueueOptions) {
     this.#opts = opts
   }
 
-  /** The last write found the disk full. */
+  /** Whether the last write failed because the disk was full. */
   get isFull(): boolean {
-    return this.#refused > 0
+    return this.#rejectedCount > 0
   }
 
-  /** Set once a write has failed for good. */
+  /** The error that stopped the queue; undefined while it accepts writes. */
   get failure(): NettlespurError | undefined {
     return this.#failure
   }
@@ -55,13 +57,13 @@
     })
   }
 
-  /** Resolves when nothing waits any more. */
-  async settle(): Promise<void> {
+  /** Resolves when the queue is empty and no write is running. */
+  async drain(): Promise<void> {
     await this.#running
   }
 
   async #run(): Promise<void> {
-    // Lets all calls of this turn join the first batch.
+    // Lets all calls made in the same synchronous code join the first batch.
     await Promise.resolve()
     while (this.#waiting.length > 0 && this.#failure === undefined) {
       await this.#runBatch(this.#takeBatch())
@@ -69,28 +71,28 @@
     this.#running = undefined
   }
 
-  async #runBatch(batch: Waiting[]): Promise<void> {
+  async #runBatch(batch: QueuedWrite[]): Promise<void> {
     const works = batch.map(({ work }) => work)
     try {
       if (this.isFull) await this.#opts.cutTail()
       const [first] = works
       if (typeof first === 'function') await first()
       else await this.#opts.write(works.filter((work) => typeof work !== 'function'))
-      this.#noteRoom()
+      this.#logResumed()
       for (const { resolve } of batch) resolve()
     } catch (error) {
-      this.#refuse(batch, toStorageError(error))
+      this.#failBatch(batch, toStorageError(error))
     }
   }
 
-  #noteRoom(): void {
+  #logResumed(): void {
     if (!this.isFull) return
-    this.#opts.logger.info({ event: 'storage.resumed', refused: this.#refused })
-    this.#refused = 0
+    this.#opts.logger.info({ event: 'storage.resumed', refused: this.#rejectedCount })
+    this.#rejectedCount = 0
   }
 
-  /** One write of another kind, or as many changes as go together. */
-  #takeBatch(): Waiting[] {
+  /** Dequeues either one write that runs alone, or as many log changes as fit into a batch. */
+  #takeBatch(): QueuedWrite[] {
     let count = 0
     let bytes = 0
     for (const { work } of this.#waiting) {
@@ -103,7 +105,7 @@
     return this.#waiting.splice(0, count)
   }
 
-  #refuse(batch: Waiting[], failure: NettlespurError): void {
+  #failBatch(batch: QueuedWrite[], failure: NettlespurError): void {
     const { kind, message: reason } = failure
     const isFinal = kind !== 'disk-full'
     if (isFinal) this.#failure = failure
@@ -111,7 +113,7 @@
     else if (!this.isFull) this.#opts.logger.warn({ event: 'storage.full', reason })
     const lost = [...batch, ...this.#waiting]
     this.#waiting = []
-    if (!isFinal) this.#refused += lost.length
+    if (!isFinal) this.#rejectedCount += lost.length
     for (const { work } of lost.toReversed()) {
       if (typeof work !== 'function') work.undo()
     }
--- a/storage/log/src/fileLogStore.ts
+++ b/storage/log/src/fileLogStore.ts
@@ -1,10 +1,10 @@
 /**
- * The log store on files under one data folder. Entries are framed records in segments; hard state, disk
- * identity and snapshots are files that are replaced as a whole. See docs/design/storage.md.
+ * Log store on the files of one data folder. Entries are records in the frames of segments; hard state, disk
+ * identity and snapshots are files that are replaced atomically. See docs/design/storage.md.
  *
- * Entries show in `lastIndex` and to readers from the call that appends them, so that further calls can
- * follow; they are durable once that call's promise resolves. `hardState` and `snapshotMeta` change only
- * then. After a failed write the store shows what was durable, and but for a full disk reads only.
+ * Appended entries are visible to readers and in `lastIndex` at once, so that further appends can follow; they
+ * are durable when the promise of `append` resolves. `hardState` and `snapshotMeta` change only once durable.
+ * After a failed write the store goes back to its durable state, and is read-only unless the disk was full.
  */
 import path from 'node:path'
 import type { Clock } from '@nettlespur/core.clock'
@@ -21,23 +21,23 @@
 import { SegmentedLog } from './segmentedLog.js'
 import { hardStateFile, writeSmallFile } from './smallFile.js'
 import { SnapshotFolder } from './snapshotFolder.js'
-import { check, toStorageError } from './storageErrors.js'
+import { assertValidCall, toStorageError } from './storageErrors.js'
 
 const defaultSegmentBytesMax = 4 * 1024 * 1024
 const defaultBatchBytesMax = 1024 * 1024
 
 export interface FileLogStoreOptions {
-  /** The data folder; made where it is missing. */
+  /** The data folder; created if it is missing. */
   readonly folder: string
   readonly clock: Clock
   readonly logger: Logger
-  /** Keeps other processes off; true by default. False where one runs at a time and none sees another's end. */
+  /** Whether to lock the folder; true by default. False if the platform runs one process at a time and hides others. */
   readonly locksFolder?: boolean
-  /** The machine's file system by default. */
+  /** The operating system's file system by default. */
   readonly files?: FileSystem
-  /** A segment grows larger only where one batch does. 4 MiB by default. */
+  /** Maximum size of a segment; only a single batch above it makes a larger one. 4 MiB by default. */
   readonly segmentBytesMax?: number
-  /** Appends that together hold no more share one sync. 1 MiB by default. */
+  /** Maximum size of a batch of log changes that share one sync. 1 MiB by default. */
   readonly batchBytesMax?: number
 }
 
@@ -58,9 +58,9 @@
   readonly #queue: CommitQueue
   #index: LogIndex
   #hardState: HardState
-  /** Entries up to here are no longer removed by truncation: a snapshot stands or will stand for them. */
-  #snapshotIndexAsked: number
-  #installing = false
+  /** Truncation is refused up to this index, because a snapshot that is saved or queued covers these entries. */
+  #requestedSnapshotIndex: number
+  #isInstalling = false
   #closed: Promise<void> | undefined
 
   private constructor({ opts, files, lock, recovered }: FileLogStoreParts) {
@@ -73,7 +73,7 @@
     this.#hardState = recovered.hardState
     this.#index = log.index
     this.#snapshots = new SnapshotFolder({ files, folder: opts.folder, base })
-    this.#snapshotIndexAsked = this.snapshotMeta.index
+    this.#requestedSnapshotIndex = this.snapshotMeta.index
     this.#log = new SegmentedLog({
       files,
       folder: opts.folder,
@@ -89,7 +89,7 @@
     })
   }
 
-  /** Rejects with `storage-damaged`, `disk-full` or `storage-failed`, the last also where the folder is in use. */
+  /** Rejects with `storage-damaged`, `disk-full` or `storage-failed`, the last also if the folder is in use. */
   static async open(opts: FileLogStoreOptions): Promise<FileLogStore> {
     const files = opts.files ?? new NodeFileSystem()
     const startMs = opts.clock.monotonicMs()
@@ -136,7 +136,7 @@
     return this.termAt(this.lastIndex) ?? this.snapshotMeta.term
   }
 
-  /** Bytes of all segments; the newest snapshot comes on top. */
+  /** Size of all segments, without the snapshot. */
   get logSizeBytes(): number {
     return this.#log.sizeBytes
   }
@@ -154,7 +154,7 @@
     this.#checkLogWritable()
     if (entries.length === 0) return this.#waitForEarlier()
     entries.forEach((entry, position) => {
-      check(entry.index === this.#index.nextIndex + position, `entry ${entry.index} leaves a gap`)
+      assertValidCall(entry.index === this.#index.nextIndex + position, `gap before ${entry.index}`)
     })
     await this.#queue.add(appendEntries(this.#index, entries))
   }
@@ -162,7 +162,7 @@
   async truncateFrom(index: number): Promise<void> {
     this.#checkLogWritable()
     if (index > this.lastIndex) return this.#waitForEarlier()
-    check(index > this.#snapshotIndexAsked, `a snapshot stands for entry ${index}`)
+    assertValidCall(index > this.#requestedSnapshotIndex, `a snapshot covers entry ${index}`)
     await this.#queue.add(truncateEntries(this.#index, index))
   }
 
@@ -174,32 +174,32 @@
     })
   }
 
-  /** Does nothing where a newer snapshot is there already. */
+  /** Writes nothing if a snapshot at least as new is saved or queued, or one is being installed. */
   async saveSnapshot(snapshot: Snapshot, keepEntries: number): Promise<void> {
     this.#checkWritable()
     const { index, term } = snapshot.meta
-    if (this.#installing || index <= this.#snapshotIndexAsked) return this.#waitForEarlier()
-    check(this.termAt(index) === term, `no entry ${index} of term ${term} to snapshot`)
-    this.#snapshotIndexAsked = index
+    if (this.#isInstalling || index <= this.#requestedSnapshotIndex) return this.#waitForEarlier()
+    assertValidCall(this.termAt(index) === term, `no entry ${index} of term ${term} to snapshot`)
+    this.#requestedSnapshotIndex = index
     try {
       await this.#queue.add(async () => {
         await this.#snapshots.save(snapshot)
         await this.#log.compact(this.#index, index - keepEntries + 1)
       })
     } catch (error) {
-      this.#snapshotIndexAsked = this.snapshotMeta.index
+      this.#requestedSnapshotIndex = this.snapshotMeta.index
       throw error
     }
   }
 
-  /** Until it resolves, other changes of the log are refused. */
+  /** Until it resolves, appends and truncations are refused. */
   async installSnapshot(snapshot: Snapshot): Promise<void> {
     this.#checkLogWritable()
-    this.#installing = true
+    this.#isInstalling = true
     try {
       await this.#queue.add(() => this.#install(snapshot))
     } finally {
-      this.#installing = false
+      this.#isInstalling = false
     }
   }
 
@@ -212,19 +212,19 @@
     return this.#closed
   }
 
-  /** The snapshot's new name is the step that counts: it voids every segment of the generation before. */
+  /** The rename of the snapshot file commits it: all segments of older generations become obsolete. */
   async #install(snapshot: Snapshot): Promise<void> {
     const { index } = snapshot.meta
     await this.#log.startGeneration(this.#snapshots.generation + 1, index + 1, async () => {
       await this.#snapshots.install(snapshot)
       this.#index = new LogIndex(index + 1)
-      this.#snapshotIndexAsked = index
+      this.#requestedSnapshotIndex = index
     })
-    await this.#snapshots.removeFormer()
+    await this.#snapshots.removeOlderSnapshots()
   }
 
   async #close(): Promise<void> {
-    await this.#queue.settle()
+    await this.#queue.drain()
     try {
       if (this.#queue.failure === undefined && !this.#queue.isFull) await this.#log.seal()
     } finally {
@@ -233,18 +233,18 @@
     }
   }
 
-  /** A call with nothing left to do must not resolve before the call that did it. */
+  /** A call without a change of its own must not resolve before the queued writes that it relies on are durable. */
   #waitForEarlier(): Promise<void> {
     return this.#queue.add(() => Promise.resolve())
   }
 
   #checkWritable(): void {
     if (this.#queue.failure !== undefined) throw this.#queue.failure
-    check(this.#closed === undefined, 'the store is closed')
+    assertValidCall(this.#closed === undefined, 'the store is closed')
   }
 
   #checkLogWritable(): void {
     this.#checkWritable()
-    check(!this.#installing, 'a snapshot is being installed')
+    assertValidCall(!this.#isInstalling, 'a snapshot is being installed')
   }
 }
--- a/storage/log/src/folderLock.ts
+++ b/storage/log/src/folderLock.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a second process off a data folder. Each process puts up a lock file whose name is its own process
- * token, and only then looks for those of others: two that start together may both give way, but never both
- * hold. Lock files of processes that have ended are removed.
+ * Lock that keeps a second process from using a data folder. Each process creates a lock file named by its
+ * process token, and only then looks for other lock files: two processes that start together may both fail, but
+ * never both hold the lock. Lock files of processes that have ended are removed.
  */
 import path from 'node:path'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -18,13 +18,13 @@
     this.#file = file
   }
 
-  /** Rejects with `storage-failed` where a process that lives holds the folder, this one included. */
+  /** Rejects with `storage-failed` if a running process, including this one, holds the lock. */
   static async acquire(files: FileSystem, folder: string): Promise<FolderLock> {
     const own = prefix + (await files.readProcessToken())
     const file = path.join(folder, own)
     await createLock(files, folder, own)
     try {
-      await checkOthers(files, folder, own)
+      await checkOtherLocks(files, folder, own)
     } catch (error) {
       await files.removeFile(file)
       throw error
@@ -41,19 +41,19 @@
   try {
     await (await files.createFile(path.join(folder, own))).close()
   } catch (error) {
-    throw (error as NodeJS.ErrnoException).code === 'EEXIST' ? inUse(folder, own) : error
+    throw (error as NodeJS.ErrnoException).code === 'EEXIST' ? folderInUseError(folder, own) : error
   }
 }
 
-async function checkOthers(files: FileSystem, folder: string, own: string): Promise<void> {
+async function checkOtherLocks(files: FileSystem, folder: string, own: string): Promise<void> {
   const locks = (await files.listFolder(folder)).filter((name) => name.startsWith(prefix))
   for (const lock of locks.filter((name) => name !== own)) {
-    if (await files.isProcessAlive(lock.slice(prefix.length))) throw inUse(folder, lock)
+    if (await files.isProcessAlive(lock.slice(prefix.length))) throw folderInUseError(folder, lock)
     await files.removeFile(path.join(folder, lock))
   }
 }
 
-function inUse(folder: string, lock: string): NettlespurError {
+function folderInUseError(folder: string, lock: string): NettlespurError {
   return new NettlespurError('storage-failed', `${folder} is in use: ${lock}`, {
     hint: 'Stop the other process, or give this one a data folder of its own.',
   })
--- a/storage/log/src/logChange.ts
+++ b/storage/log/src/logChange.ts
@@ -1,17 +1,17 @@
-/** A change of the log that shows in memory at once and becomes durable with the next frame. */
+/** Log changes that apply to the in-memory index at once and become durable when their frame is synced. */
 import type { LogEntry } from './logStore.js'
 import type { LogIndex } from './logIndex.js'
 import { encodeRecord } from './logRecord.js'
 import type { Segment } from './segment.js'
 
 export interface LogChange {
-  /** Its records, encoded. */
+  /** The encoded records. */
   readonly body: Buffer
-  /** The index that follows once the change is durable. */
+  /** Index of the next entry after this change. */
   readonly nextIndex: number
-  /** Told where its body stands once it is durable. */
-  readonly settle: (segment: Segment, offsetBytes: number) => void
-  /** Takes it back in memory; the last change made is undone first. */
+  /** Called once the body is durable at this offset; points the index at the records on disk. */
+  readonly markDurable: (segment: Segment, offsetBytes: number) => void
+  /** Reverts the in-memory index. Changes are undone newest first. */
   readonly undo: () => void
 }
 
@@ -23,7 +23,7 @@
   return {
     body: Buffer.concat(records),
     nextIndex: index.nextIndex,
-    settle: (segment, startBytes) => {
+    markDurable: (segment, startBytes) => {
       let offsetBytes = startBytes
       added.forEach((entry, position) => {
         const lengthBytes = records[position]?.length ?? 0
@@ -42,7 +42,7 @@
   return {
     body: encodeRecord({ kind: 'truncate', index: fromIndex, term: 0, payload: Buffer.alloc(0) }),
     nextIndex: fromIndex,
-    settle: () => undefined,
+    markDurable: () => undefined,
     undo: () => {
       index.append(removed)
     },
--- a/storage/log/src/recoverFolder.ts
+++ b/storage/log/src/recoverFolder.ts
@@ -1,4 +1,4 @@
-/** Brings a data folder back to what was last durable, or refuses it. */
+/** Recovers the last durable state of a data folder, or rejects if the folder is damaged. */
 import path from 'node:path'
 import type { Logger } from '@nettlespur/core.logger'
 import { createFolder } from './createFolder.js'
@@ -14,7 +14,7 @@
   hardStateSchema,
   readSmallFile,
 } from './smallFile.js'
-import { asideSuffix } from './writeAside.js'
+import { tempSuffix } from './writeAside.js'
 
 export interface RecoverFolderOptions {
   readonly files: FileSystem
@@ -29,11 +29,11 @@
   readonly log: RecoveredLog
 }
 
-/** What it finds counts as durable afterwards: names and contents are synced before it resolves. */
+/** Everything that it returns is durable: names and contents are synced before it resolves. */
 export async function recoverFolder(opts: RecoverFolderOptions): Promise<RecoveredFolder> {
   const { files, folder } = opts
   await files.syncFolder(folder)
-  await removeFiles(opts, await listAside(opts))
+  await removeFiles(opts, await listTempFiles(opts))
   await createFolder(files, folder, await files.listFolder(folder))
   const names = await files.listFolder(folder)
   const { diskId } = await readSmallFile(files, folder, diskIdFile, diskIdSchema)
@@ -41,7 +41,7 @@
   const base = await recoverSnapshot(files, folder, names)
   const log = await recoverLog({ files, folder, names, base })
   try {
-    await makeWhole(opts, base, log)
+    await repairLogTail(opts, base, log)
     await removeFiles(opts, [...base.voidFiles, ...log.voidFiles])
   } catch (error) {
     for (const segment of log.segments) await segment.retire()
@@ -53,8 +53,8 @@
   return { diskId, hardState: { term, votedFor }, base, log }
 }
 
-/** Cuts a torn tail and seals the log; makes the first segment where a crash came before it. */
-async function makeWhole(
+/** Truncates a torn tail and seals the log. Creates the first segment if a crash came before its creation. */
+async function repairLogTail(
   opts: RecoverFolderOptions,
   { generation }: RecoveredSnapshot,
   log: RecoveredLog,
@@ -73,10 +73,10 @@
   await last.seal()
 }
 
-/** Files that a crash left before they got their name. */
-async function listAside({ files, folder }: RecoverFolderOptions): Promise<string[]> {
+/** Lists temporary files that were left by a crash before they were renamed. */
+async function listTempFiles({ files, folder }: RecoverFolderOptions): Promise<string[]> {
   const names = await files.listFolder(folder)
-  return names.filter((name) => name.endsWith(asideSuffix)).map((name) => path.join(folder, name))
+  return names.filter((name) => name.endsWith(tempSuffix)).map((name) => path.join(folder, name))
 }
 
 async function removeFiles(
