--- a/storage/log/__utils__/index.ts
+++ b/storage/log/__utils__/index.ts
@@ -1,6 +1,18 @@
 /** Fakes for tests of the store. */
-export { MemoryFileSystem, lossKinds, type Fault, type LossKind } from './memoryFileSystem.js'
-export { failWith, folder, openStore, readAll, silentLogger, toEntry } from './storeHelpers.js'
+export {
+  MemoryFileSystem,
+  lossKinds,
+  type FaultInjector,
+  type LossKind,
+} from './memoryFileSystem.js'
+export {
+  throwFileSystemError,
+  folder,
+  openStore,
+  readAll,
+  silentLogger,
+  toEntry,
+} from './storeHelpers.js'
 export {
   emptyState,
   holdsState,
--- a/storage/log/__utils__/memoryFileSystem.ts
+++ b/storage/log/__utils__/memoryFileSystem.ts
@@ -10,7 +10,7 @@
 export type LossKind = (typeof lossKinds)[number]
 
 /** Called before each operation that changes something; throws to make it fail. */
-export type Fault = (operation: string, file: string, count: number) => void
+export type FaultInjector = (operation: string, file: string, count: number) => void
 
 interface Inode {
   bytes: Buffer
@@ -18,7 +18,7 @@
 }
 
 export class MemoryFileSystem extends FileSystem {
-  fault: Fault = () => undefined
+  injectFault: FaultInjector = () => undefined
   /** Sum of all files, for bounds on disk use. */
   get sizeBytes(): number {
     return [...this.names.values()].reduce((sum, inode) => sum + inode.bytes.length, 0)
@@ -28,13 +28,13 @@
   readonly names: Map<string, Inode>
   #durableNames: Map<string, Inode>
   #pendingNames: ((names: Map<string, Inode>) => void)[] = []
-  readonly #life: number
+  readonly #processNumber: number
 
   constructor(names = new Map<string, Inode>(), life = 1) {
     super()
     this.names = new Map(names)
     this.#durableNames = new Map(names)
-    this.#life = life
+    this.#processNumber = life
   }
 
   /** The disk as the next start finds it. */
@@ -43,22 +43,22 @@
     const keptNames = loss === 'lost' ? 0 : this.#pendingNames.length
     for (const apply of this.#pendingNames.slice(0, keptNames)) apply(names)
     for (const [name, inode] of names) {
-      const bytes = loseBytes(inode, loss)
+      const bytes = computeBytesAfterCrash(inode, loss)
       names.set(name, { bytes, durable: bytes })
     }
-    return new MemoryFileSystem(names, this.#life + 1)
+    return new MemoryFileSystem(names, this.#processNumber + 1)
   }
 
   /** The disk as the next process finds it where only the process died: all is there, as durable as before. */
   kill(): MemoryFileSystem {
-    const next = new MemoryFileSystem(this.names, this.#life + 1)
+    const next = new MemoryFileSystem(this.names, this.#processNumber + 1)
     next.#durableNames = this.#durableNames
     next.#pendingNames = this.#pendingNames
     return next
   }
 
   step(operation: string, file: string): void {
-    this.fault(operation, file, this.operations)
+    this.injectFault(operation, file, this.operations)
     this.operations++
   }
 
@@ -115,11 +115,11 @@
   }
 
   readProcessToken(): Promise<string> {
-    return Promise.resolve(`1-${this.#life}`)
+    return Promise.resolve(`1-${this.#processNumber}`)
   }
 
   isProcessAlive(token: string): Promise<boolean> {
-    return Promise.resolve(token === `1-${this.#life}`)
+    return Promise.resolve(token === `1-${this.#processNumber}`)
   }
 
   #changeNames(apply: (names: Map<string, Inode>) => unknown): void {
@@ -189,7 +189,7 @@
   }
 }
 
-function loseBytes({ bytes, durable }: Inode, loss: LossKind): Buffer {
+function computeBytesAfterCrash({ bytes, durable }: Inode, loss: LossKind): Buffer {
   if (loss === 'lost') return Buffer.from(durable)
   const kept = Buffer.from(bytes)
   const middle = durable.length + Math.ceil((bytes.length - durable.length) / 2)
--- a/storage/log/__utils__/storeHelpers.ts
+++ b/storage/log/__utils__/storeHelpers.ts
@@ -40,6 +40,6 @@
 }
 
 /** An error as `node:fs` throws it. */
-export function failWith(code: string): never {
+export function throwFileSystemError(code: string): never {
   throw Object.assign(new Error(`${code}: injected`), { code })
 }
--- a/storage/log/__utils__/storeModel.ts
+++ b/storage/log/__utils__/storeModel.ts
@@ -8,8 +8,8 @@
   readonly snapshotIndex: number
   readonly snapshotTerm: number
   /** The store may hold entries from here on, and must from `keptIndex` on. */
-  readonly floorIndex: number
-  readonly keptIndex: number
+  readonly minFirstIndex: number
+  readonly maxFirstIndex: number
   /** All entries from `floorIndex` on. */
   readonly entries: readonly LogEntry[]
 }
@@ -31,8 +31,8 @@
   hardState: { term: 0, votedFor: undefined },
   snapshotIndex: 0,
   snapshotTerm: 0,
-  floorIndex: 1,
-  keptIndex: 1,
+  minFirstIndex: 1,
+  maxFirstIndex: 1,
   entries: [],
 }
 
@@ -64,7 +64,7 @@
   state: StoreState,
   command: Command,
 ): { next: StoreState; run: (store: LogStore) => Promise<void> } | undefined {
-  const lastIndex = state.floorIndex + state.entries.length - 1
+  const lastIndex = state.minFirstIndex + state.entries.length - 1
   const term = state.hardState.term + 1
   switch (command.kind) {
     case 'append': {
@@ -87,16 +87,16 @@
       const index = lastIndex - command.back
       const entry = state.entries.find((one) => one.index === index)
       if (entry === undefined || index <= state.snapshotIndex) return undefined
-      const keptIndex = Math.max(state.keptIndex, index - command.keep + 1)
-      const next = { ...state, keptIndex, snapshotIndex: index, snapshotTerm: entry.term }
+      const maxFirstIndex = Math.max(state.maxFirstIndex, index - command.keep + 1)
+      const next = { ...state, maxFirstIndex, snapshotIndex: index, snapshotTerm: entry.term }
       const snapshot = toSnapshot(index, entry.term)
       return { next, run: (store) => store.saveSnapshot(snapshot, command.keep) }
     }
     case 'install': {
       const index = Math.max(1, lastIndex + command.ahead)
-      const floorIndex = index + 1
+      const minFirstIndex = index + 1
       const installed = { snapshotIndex: index, snapshotTerm: term, entries: [] }
-      const next = { ...state, ...installed, floorIndex, keptIndex: floorIndex }
+      const next = { ...state, ...installed, minFirstIndex, maxFirstIndex: minFirstIndex }
       return { next, run: (store) => store.installSnapshot(toSnapshot(index, term)) }
     }
   }
@@ -122,9 +122,9 @@
     snapshotMeta.index === state.snapshotIndex &&
     snapshotMeta.term === state.snapshotTerm &&
     (snapshot?.data.toString() ?? '') === expected &&
-    store.firstIndex >= state.floorIndex &&
-    store.firstIndex <= Math.max(state.keptIndex, state.floorIndex) &&
-    store.lastIndex === state.floorIndex + state.entries.length - 1 &&
+    store.firstIndex >= state.minFirstIndex &&
+    store.firstIndex <= Math.max(state.maxFirstIndex, state.minFirstIndex) &&
+    store.lastIndex === state.minFirstIndex + state.entries.length - 1 &&
     entries.length === wanted.length &&
     entries.every((entry, position) => isSame(entry, wanted[position]))
   )
--- a/storage/log/test/crash.test.ts
+++ b/storage/log/test/crash.test.ts
@@ -22,32 +22,32 @@
 /** Each state a reopened store may be in: from the last that was promised to the last that was asked for. */
 async function runUntilCrash(files: MemoryFileSystem, steps: readonly Step[]) {
   const states = [emptyState]
-  let promised = 0
+  let lastResolvedPosition = 0
   let diskId: string | undefined
   const calls: Promise<void>[] = []
   try {
     const store = await openStore(files, small)
     diskId = store.diskId
     for (const { command, awaited } of steps) {
-      const alone = command.kind === 'install'
-      if (alone) await Promise.all(calls)
+      const runsAlone = command.kind === 'install'
+      if (runsAlone) await Promise.all(calls)
       const plan = planCommand(states.at(-1) ?? emptyState, command)
       if (plan === undefined) continue
       states.push(plan.next)
       const position = states.length - 1
       const call = plan.run(store).then(() => {
-        promised = position
+        lastResolvedPosition = position
       })
       call.catch(() => undefined)
       calls.push(call)
-      if (awaited || alone) await call
+      if (awaited || runsAlone) await call
     }
     await Promise.all(calls)
     await store.close()
   } catch {
     await Promise.allSettled(calls)
   }
-  return { allowed: states.slice(promised), diskId }
+  return { allowed: states.slice(lastResolvedPosition), diskId }
 }
 
 async function reopen(files: MemoryFileSystem): Promise<FileLogStore> {
@@ -68,12 +68,12 @@
 }
 
 function crashAt(files: MemoryFileSystem, operation: number): void {
-  files.fault = (_operation, _file, count) => {
+  files.injectFault = (_operation, _file, count) => {
     if (count >= operation) throw new Error('crashed')
   }
 }
 
-function goDown(files: MemoryFileSystem, kind: Crash['kind']) {
+function simulateCrash(files: MemoryFileSystem, kind: Crash['kind']) {
   return kind === 'killed' ? files.kill() : files.crash(kind)
 }
 
@@ -87,22 +87,22 @@
   const files = new MemoryFileSystem()
   crashAt(files, first.operation)
   const { allowed, diskId } = await runUntilCrash(files, steps)
-  const found = goDown(files, first.kind)
-  crashAt(found, second.operation)
-  const early = await reopen(found).catch(() => undefined)
+  const filesAfterFirstCrash = simulateCrash(files, first.kind)
+  crashAt(filesAfterFirstCrash, second.operation)
+  const firstReopened = await reopen(filesAfterFirstCrash).catch(() => undefined)
   // What a reopened store shows counts as promised from then on.
-  const seen = early === undefined ? allowed : [await findState(early, allowed)]
-  const foundAgain = goDown(found, second.kind)
-  const store = await reopen(foundAgain)
+  const seen = firstReopened === undefined ? allowed : [await findState(firstReopened, allowed)]
+  const filesAfterSecondCrash = simulateCrash(filesAfterFirstCrash, second.kind)
+  const store = await reopen(filesAfterSecondCrash)
   const state = await findState(store, seen)
   if (diskId !== undefined && store.diskId !== diskId) throw new Error('another disk identity')
-  const leftover = [...foundAgain.names.keys()].find((name) => name.endsWith('.tmp'))
+  const leftover = [...filesAfterSecondCrash.names.keys()].find((name) => name.endsWith('.tmp'))
   if (leftover !== undefined) throw new Error(`${leftover} is left over`)
   const added = toEntry(store.lastIndex + 1, 99)
   await store.append([added])
-  const last = await reopen(foundAgain.crash('lost'))
+  const last = await reopen(filesAfterSecondCrash.crash('lost'))
   await findState(last, [{ ...state, entries: [...state.entries, added] }])
-  return early === undefined
+  return firstReopened === undefined
 }
 
 test('after a crash at any file operation all that was promised is there, and nothing else', async (t) => {
@@ -152,7 +152,7 @@
         () => false,
       )
       done = outcome
-      const again = await reopen(goDown(files, loss))
+      const again = await reopen(simulateCrash(files, loss))
       const { index } = again.snapshotMeta
       const entries = await readAll(again)
       if (index === 9) t.deepEqual([again.firstIndex, again.lastIndex, again.lastTerm], [10, 9, 5])
--- a/storage/log/test/damage.test.ts
+++ b/storage/log/test/damage.test.ts
@@ -33,12 +33,12 @@
   return [...files.names.keys()].filter((name) => name.includes('segment-')).sort()
 }
 
-function flip(files: MemoryFileSystem, name: string, offsetBytes: number, mask: number): void {
+function flipBits(files: MemoryFileSystem, name: string, offsetBytes: number, mask: number): void {
   const bytes = files.names.get(name)?.bytes
   if (bytes !== undefined) bytes[offsetBytes] = (bytes[offsetBytes] ?? 0) ^ mask
 }
 
-async function openError(files: MemoryFileSystem): Promise<NettlespurError | undefined> {
+async function captureOpenError(files: MemoryFileSystem): Promise<NettlespurError | undefined> {
   const opened = await openStore(files, small).catch((error: unknown) => error)
   return opened instanceof NettlespurError ? opened : undefined
 }
@@ -52,14 +52,15 @@
     const end = name === segments.at(-1) ? size - sealBytes : size
     for (let offset = 0; offset < end; offset++) {
       const files = filled.crash('lost')
-      flip(files, name, offset, 1 << (offset % 8))
-      const error = await openError(files)
+      flipBits(files, name, offset, 1 << (offset % 8))
+      const error = await captureOpenError(files)
       if (error?.kind !== 'storage-damaged') t.fail(`${name} at byte ${offset} was let through`)
-      const told = /^(.*) at byte (\d+):/.exec(error?.message ?? '')
-      if (told?.[1] !== name) t.fail(`${name} at byte ${offset} was told as ${String(told?.[1])}`)
-      const distance = offset - Number(told?.[2])
+      const reported = /^(.*) at byte (\d+):/.exec(error?.message ?? '')
+      if (reported?.[1] !== name)
+        t.fail(`${name} at byte ${offset} was told as ${String(reported?.[1])}`)
+      const distance = offset - Number(reported?.[2])
       if (distance < 0 || distance > 60)
-        t.fail(`${name} at byte ${offset} was told as ${told?.[2]}`)
+        t.fail(`${name} at byte ${offset} was told as ${reported?.[2]}`)
     }
   }
 })
@@ -70,13 +71,13 @@
     const size = filled.names.get(name)?.bytes.length ?? 0
     for (let offset = 0; offset < size; offset++) {
       const files = filled.crash('lost')
-      flip(files, name, offset, 1)
-      const error = await openError(files)
+      flipBits(files, name, offset, 1)
+      const error = await captureOpenError(files)
       if (error?.kind !== 'storage-damaged') t.fail(`${name} at byte ${offset} was let through`)
     }
     const files = filled.crash('lost')
     files.names.delete(name)
-    t.truthy(await openError(files), `${name} is missing`)
+    t.truthy(await captureOpenError(files), `${name} is missing`)
   }
 })
 
@@ -86,10 +87,10 @@
   for (const name of segments.slice(0, -1)) {
     const files = filled.crash('lost')
     files.names.delete(name)
-    t.is((await openError(files))?.kind, 'storage-damaged', name)
+    t.is((await captureOpenError(files))?.kind, 'storage-damaged', name)
   }
   for (const name of segments) filled.names.delete(name)
-  t.is((await openError(filled))?.kind, 'storage-damaged')
+  t.is((await captureOpenError(filled))?.kind, 'storage-damaged')
 })
 
 test('segments missing between two that fit each other, and a gap of indexes, are refused', async (t) => {
@@ -106,16 +107,16 @@
   const id = { generation: 0, number: listSegments(gap).length + 1, firstIndex: 4 }
   const added = await Segment.create(gap, folder, id)
   await added.writeFrame(encodeRecord({ kind: 'entry', ...toEntry(5) }))
-  t.regex((await openError(gap))?.message ?? '', /entry 5, expected 4/)
+  t.regex((await captureOpenError(gap))?.message ?? '', /entry 5, expected 4/)
   const missing = files.crash('lost')
   for (const name of listSegments(missing).slice(3, 5)) missing.names.delete(name)
-  t.regex((await openError(missing))?.message ?? '', /is missing before it/)
+  t.regex((await captureOpenError(missing))?.message ?? '', /is missing before it/)
 })
 
 test('a damaged snapshot is passed over only where the log reaches as far by itself', async (t) => {
   const filled = await createFilled()
   const name = [...filled.names.keys()].find((one) => one.endsWith('.snap')) ?? ''
-  flip(filled, name, 30, 1)
+  flipBits(filled, name, 30, 1)
   const store = await openStore(filled, small)
   t.deepEqual([store.snapshotMeta.index, store.firstIndex, store.lastIndex], [0, 1, 16])
   await store.saveSnapshot(toSnapshot(15, 1), 0)
@@ -123,8 +124,8 @@
   const compacted = filled.crash('lost')
   const later = [...compacted.names.keys()].filter((one) => one.endsWith('.snap'))
   t.is(later.length, 1)
-  flip(compacted, later[0] ?? '', 30, 1)
-  t.is((await openError(compacted))?.kind, 'storage-damaged')
+  flipBits(compacted, later[0] ?? '', 30, 1)
+  t.is((await captureOpenError(compacted))?.kind, 'storage-damaged')
 })
 
 test('a damaged snapshot is refused where the log has lost what it stood for', async (t) => {
@@ -134,9 +135,9 @@
   await store.saveSnapshot(toSnapshot(16, 1), 16)
   await store.close()
   const name = [...files.names.keys()].find((one) => one.endsWith('.snap')) ?? ''
-  flip(files, name, 30, 1)
+  flipBits(files, name, 30, 1)
   files.names.delete(listSegments(files).at(-1) ?? '')
-  t.like(await openError(files), { kind: 'storage-damaged' })
+  t.like(await captureOpenError(files), { kind: 'storage-damaged' })
 })
 
 test('a torn write at the end is cut, with a log line', async (t) => {
@@ -144,7 +145,7 @@
     const files = new MemoryFileSystem()
     const store = await openStore(files)
     await store.append([toEntry(1)])
-    files.fault = (operation) => {
+    files.injectFault = (operation) => {
       if (operation === 'sync') throw new Error('crashed')
     }
     await t.throwsAsync(store.append([toEntry(2), toEntry(3)]))
@@ -167,7 +168,7 @@
   await store.append([toEntry(1), toEntry(2)])
   const name = listSegments(files)[0] ?? ''
   const size = files.names.get(name)?.bytes.length ?? 0
-  flip(files, name, size - 1, 1)
+  flipBits(files, name, size - 1, 1)
   t.deepEqual(await store.read(1, 0), [toEntry(1)])
   const error = await t.throwsAsync(store.read(2, 0))
   t.like(error, { kind: 'storage-damaged' })
--- a/storage/log/test/fileLogStore.test.ts
+++ b/storage/log/test/fileLogStore.test.ts
@@ -1,5 +1,11 @@
 import test from 'ava'
-import { failWith, MemoryFileSystem, openStore, readAll, toEntry } from '../__utils__/index.js'
+import {
+  throwFileSystemError,
+  MemoryFileSystem,
+  openStore,
+  readAll,
+  toEntry,
+} from '../__utils__/index.js'
 
 const range = (from: number, to: number, term = 1) =>
   Array.from({ length: to - from + 1 }, (_, position) => toEntry(from + position, term))
@@ -55,8 +61,8 @@
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   await store.append(range(1, 3))
-  files.fault = (operation) => {
-    if (operation === 'sync') failWith('EIO')
+  files.injectFault = (operation) => {
+    if (operation === 'sync') throwFileSystemError('EIO')
   }
   const outcomes = await Promise.allSettled([store.truncateFrom(2), store.truncateFrom(2)])
   t.true(outcomes.every(({ status }) => status === 'rejected'))
--- a/storage/log/test/fullDisk.test.ts
+++ b/storage/log/test/fullDisk.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import {
   emptyState,
-  failWith,
+  throwFileSystemError,
   holdsState,
   lossKinds,
   MemoryFileSystem,
@@ -13,7 +13,7 @@
 } from '../__utils__/index.js'
 
 const small = { segmentBytesMax: 200, batchBytesMax: 150 }
-const needsRoom = new Set(['write', 'createFile'])
+const allocatingOperations = new Set(['write', 'createFile'])
 
 test('over any changes and any spells without room a store holds what it took, also after a crash', async (t) => {
   const plan = fc.record({
@@ -26,9 +26,10 @@
     fc.asyncProperty(plan, async ({ steps, room, loss }) => {
       const files = new MemoryFileSystem()
       const store = await openStore(files, small)
-      let asked = 0
-      files.fault = (operation) => {
-        if (needsRoom.has(operation) && room[asked++ % room.length] === false) failWith('ENOSPC')
+      let allocationCount = 0
+      files.injectFault = (operation) => {
+        if (allocatingOperations.has(operation) && room[allocationCount++ % room.length] === false)
+          throwFileSystemError('ENOSPC')
       }
       let state = emptyState
       let allowed = [emptyState]
@@ -41,7 +42,7 @@
         state = allowed[0] ?? state
         if (!(await holdsState(store, state))) throw new Error(`after ${command.kind}`)
       }
-      files.fault = () => undefined
+      files.injectFault = () => undefined
       const again = await openStore(files.crash(loss), small)
       const held = await Promise.all(allowed.map((one) => holdsState(again, one)))
       if (!held.includes(true)) throw new Error('after the crash')
--- a/storage/log/test/fullInstall.test.ts
+++ b/storage/log/test/fullInstall.test.ts
@@ -5,7 +5,7 @@
  */
 import test from 'ava'
 import {
-  failWith,
+  throwFileSystemError,
   lossKinds,
   MemoryFileSystem,
   openStore,
@@ -15,12 +15,12 @@
 } from '../__utils__/index.js'
 
 /** Room for so many files more, then for none. */
-function leaveRoomFor(files: MemoryFileSystem, fileCount: number): void {
+function limitCreatedFiles(files: MemoryFileSystem, fileCount: number): void {
   let created = 0
-  files.fault = (operation) => {
+  files.injectFault = (operation) => {
     if (operation === 'createFile') created += 1
     const needsRoom = operation === 'createFile' || operation === 'write'
-    if (needsRoom && created > fileCount) failWith('ENOSPC')
+    if (needsRoom && created > fileCount) throwFileSystemError('ENOSPC')
   }
 }
 
@@ -30,11 +30,11 @@
       const files = new MemoryFileSystem()
       const store = await openStore(files)
       await store.append([toEntry(1), toEntry(2)])
-      leaveRoomFor(files, fileCount)
+      limitCreatedFiles(files, fileCount)
       const [outcome] = await Promise.allSettled([store.installSnapshot(toSnapshot(50, 8))])
       t.is(outcome.status, fileCount < 2 ? 'rejected' : 'fulfilled')
       if (outcome.status === 'rejected') t.like(outcome.reason, { kind: 'disk-full' })
-      files.fault = () => undefined
+      files.injectFault = () => undefined
       await store.installSnapshot(toSnapshot(60, 8))
       await store.append([toEntry(61, 9)])
       const again = await openStore(files.crash(loss))
--- a/storage/log/test/writeFaults.test.ts
+++ b/storage/log/test/writeFaults.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import {
-  failWith,
+  throwFileSystemError,
   MemoryFileSystem,
   openStore,
   readAll,
@@ -29,11 +29,11 @@
       const files = new MemoryFileSystem()
       const store = await openStore(files)
       await store.append([toEntry(1), toEntry(2), toEntry(3)])
-      files.fault = (called) => {
-        if (called === operation) failWith(code)
+      files.injectFault = (called) => {
+        if (called === operation) throwFileSystemError(code)
       }
       t.like(await t.throwsAsync(write(store)), { kind }, name)
-      files.fault = () => undefined
+      files.injectFault = () => undefined
       const before = files.operations
       for (const next of Object.values(writes)) t.like(await t.throwsAsync(next(store)), { kind })
       t.is(files.operations, before)
@@ -51,14 +51,14 @@
     const files = new MemoryFileSystem()
     const store = await openStore(files)
     await store.append([toEntry(1), toEntry(2), toEntry(3)])
-    files.fault = (operation) => {
-      if (operation === 'write' || operation === 'createFile') failWith('ENOSPC')
+    files.injectFault = (operation) => {
+      if (operation === 'write' || operation === 'createFile') throwFileSystemError('ENOSPC')
     }
     t.like(await t.throwsAsync(write(store)), { kind: 'disk-full' })
     t.like(await t.throwsAsync(store.append([toEntry(4, 2)])), { kind: 'disk-full' })
     t.deepEqual(await readAll(store), [toEntry(1), toEntry(2), toEntry(3)])
     t.deepEqual([store.lastIndex, store.hardState.term, store.snapshotMeta.index], [3, 0, 0])
-    files.fault = () => undefined
+    files.injectFault = () => undefined
     await store.append([toEntry(4, 5, 'a longer text than that of the entry refused')])
     await store.truncateFrom(3)
     await store.saveHardState({ term: 8, votedFor: 'y' })
@@ -73,8 +73,8 @@
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   await store.append([toEntry(1), toEntry(2), toEntry(3)])
-  files.fault = (operation) => {
-    if (operation === 'sync') failWith('EIO')
+  files.injectFault = (operation) => {
+    if (operation === 'sync') throwFileSystemError('EIO')
   }
   const calls = [
     store.append([toEntry(4)]),
@@ -91,11 +91,11 @@
 
 test('a full disk at the start is told as such and leaves the folder free', async (t) => {
   const files = new MemoryFileSystem()
-  files.fault = (operation) => {
-    if (operation === 'write') failWith('ENOSPC')
+  files.injectFault = (operation) => {
+    if (operation === 'write') throwFileSystemError('ENOSPC')
   }
   t.like(await t.throwsAsync(openStore(files)), { kind: 'disk-full' })
-  files.fault = () => undefined
+  files.injectFault = () => undefined
   const store = await openStore(files)
   t.is(store.lastIndex, 0)
 })
