--- a/storage/log/__utils__/index.ts
+++ b/storage/log/__utils__/index.ts
@@ -1,4 +1,4 @@
-/** Fakes for tests of the store. */
+/** A fake file system, a model of the store and helpers for tests of the log store. */
 export {
   MemoryFileSystem,
   lossKinds,
--- a/storage/log/__utils__/memoryFileSystem.ts
+++ b/storage/log/__utils__/memoryFileSystem.ts
@@ -1,25 +1,30 @@
 /**
- * A file system in memory that loses what was not synced. Each operation that changes something is counted;
- * a fault may be put on any of them.
+ * An in-memory file system that can lose unsynced data in a simulated crash. It counts the operations that
+ * change files or sync them, and can fail any of them.
  */
 import path from 'node:path'
 import { FileSystem, OpenFile } from '../src/index.js'
 
-/** What becomes of bytes and names not synced when the machine goes down. */
+/**
+ * What a machine crash does to unsynced data. `lost` drops unsynced bytes and name changes; all other kinds keep
+ * the name changes. Of the bytes past the synced size, `halfKept` cuts off the second half, and `firstHalfLost`
+ * and `secondHalfLost` fill one half with zeros.
+ */
 export const lossKinds = ['lost', 'kept', 'halfKept', 'firstHalfLost', 'secondHalfLost'] as const
 export type LossKind = (typeof lossKinds)[number]
 
-/** Called before each operation that changes something; throws to make it fail. */
+/** Called before each counted operation, with the number of operations before it; throws to make it fail. */
 export type FaultInjector = (operation: string, file: string, count: number) => void
 
 interface Inode {
   bytes: Buffer
+  /** The contents as of the last sync. */
   durable: Buffer
 }
 
 export class MemoryFileSystem extends FileSystem {
   injectFault: FaultInjector = () => undefined
-  /** Sum of all files, for bounds on disk use. */
+  /** Total size of all files. */
   get sizeBytes(): number {
     return [...this.names.values()].reduce((sum, inode) => sum + inode.bytes.length, 0)
   }
@@ -37,7 +42,7 @@
     this.#processNumber = life
   }
 
-  /** The disk as the next start finds it. */
+  /** Returns the disk as the next process finds it after a machine crash. */
   crash(loss: LossKind): MemoryFileSystem {
     const names = new Map(this.#durableNames)
     const keptNames = loss === 'lost' ? 0 : this.#pendingNames.length
@@ -49,7 +54,7 @@
     return new MemoryFileSystem(names, this.#processNumber + 1)
   }
 
-  /** The disk as the next process finds it where only the process died: all is there, as durable as before. */
+  /** Returns the disk as the next process finds it after a process crash: nothing is lost, and nothing more is synced. */
   kill(): MemoryFileSystem {
     const next = new MemoryFileSystem(this.names, this.#processNumber + 1)
     next.#durableNames = this.#durableNames
@@ -57,6 +62,7 @@
     return next
   }
 
+  /** Calls the fault injector, and counts the operation if it does not throw. */
   step(operation: string, file: string): void {
     this.injectFault(operation, file, this.operations)
     this.operations++
@@ -81,7 +87,8 @@
   // eslint-disable-next-line @typescript-eslint/require-await
   async createFile(file: string): Promise<OpenFile> {
     this.step('createFile', file)
-    if (this.names.has(file)) throw Object.assign(new Error(`there is ${file}`), { code: 'EEXIST' })
+    if (this.names.has(file))
+      throw Object.assign(new Error(`${file} already exists`), { code: 'EEXIST' })
     const inode: Inode = { bytes: Buffer.alloc(0), durable: Buffer.alloc(0) }
     this.#changeNames((names) => names.set(file, inode))
     return new MemoryOpenFile(this, file, inode)
@@ -159,7 +166,7 @@
     try {
       this.files.step('write', this.path)
     } catch (error) {
-      // A write that fails has put down its first half.
+      // A failed write leaves its first half in the file.
       bytes.copy(next, offsetBytes, 0, bytes.length >> 1)
       this.inode.bytes = next.subarray(
         0,
--- a/storage/log/__utils__/storeHelpers.ts
+++ b/storage/log/__utils__/storeHelpers.ts
@@ -1,4 +1,4 @@
-/** Short ways to open a store on a fake disk and to read it. */
+/** Helpers that open a store on a fake file system, create entries and read them back. */
 import { ManualClock } from '@nettlespur/core.clock'
 import type { LogEvent, Logger } from '@nettlespur/core.logger'
 import {
@@ -24,6 +24,7 @@
   })
 }
 
+/** Creates a logger that prints nothing and collects its events in `events`. */
 export function silentLogger(events: LogEvent[] = []): Logger {
   const keep = (event: LogEvent) => {
     events.push(event)
@@ -39,7 +40,7 @@
   return store.read(store.firstIndex, Number.MAX_SAFE_INTEGER)
 }
 
-/** An error as `node:fs` throws it. */
+/** Throws an error with a `code`, as `node:fs` does. */
 export function throwFileSystemError(code: string): never {
   throw Object.assign(new Error(`${code}: injected`), { code })
 }
--- a/storage/log/__utils__/storeModel.ts
+++ b/storage/log/__utils__/storeModel.ts
@@ -1,4 +1,4 @@
-/** What a store should hold after some commands: the plain truth that a reopened one is held against. */
+/** A model of the log store: the state expected after a sequence of commands, to compare a reopened store with. */
 import fc from 'fast-check'
 import type { HardState, LogEntry, LogStore, Snapshot } from '../src/index.js'
 import { readAll, toEntry } from './storeHelpers.js'
@@ -7,10 +7,11 @@
   readonly hardState: HardState
   readonly snapshotIndex: number
   readonly snapshotTerm: number
-  /** The store may hold entries from here on, and must from `keptIndex` on. */
+  /** The lowest `firstIndex` that the store may have. */
   readonly minFirstIndex: number
+  /** The highest `firstIndex` that the store may have; `minFirstIndex` if that is higher. */
   readonly maxFirstIndex: number
-  /** All entries from `floorIndex` on. */
+  /** All entries from `minFirstIndex` on. */
   readonly entries: readonly LogEntry[]
 }
 
@@ -21,7 +22,7 @@
   | { readonly kind: 'snapshot'; readonly back: number; readonly keep: number }
   | { readonly kind: 'install'; readonly ahead: number }
 
-/** A command, and whether the next one waits for it. */
+/** A command, and whether it must complete before the next one starts. */
 export interface Step {
   readonly command: Command
   readonly awaited: boolean
@@ -59,7 +60,10 @@
   { maxLength: 15 },
 )
 
-/** The state after the command, and the call that asks the store for it; undefined where it does not apply. */
+/**
+ * Returns the state after the command, and a function that runs the command on a store. Returns undefined if the
+ * command is a snapshot at an index without an entry or not after the current snapshot.
+ */
 export function planCommand(
   state: StoreState,
   command: Command,
@@ -109,7 +113,7 @@
   }
 }
 
-/** Whether the store holds exactly the state. */
+/** Whether the store matches the state, with a `firstIndex` within its bounds. */
 export async function holdsState(store: LogStore, state: StoreState): Promise<boolean> {
   const { snapshotMeta, hardState } = store
   const snapshot = await store.readSnapshot()
--- a/storage/log/test/compaction.test.ts
+++ b/storage/log/test/compaction.test.ts
@@ -4,7 +4,7 @@
 const segmentBytesMax = 1000
 const frameBytes = 24 + 21 + 'entry 1000'.length
 
-test('disk use stays bounded by kept entries, two segments and the snapshot', async (t) => {
+test('disk use is bounded by the kept entries, two segments and one snapshot', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files, { segmentBytesMax })
   const keepEntries = 10
@@ -22,7 +22,7 @@
   t.is([...files.names.keys()].filter((name) => name.endsWith('.snap')).length, 1)
 })
 
-test('truncated entries do not pile up, and a late truncation loses nothing to compaction', async (t) => {
+test('compaction frees the space of truncated entries and loses no entry appended after the last truncation', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files, { segmentBytesMax })
   await store.append([toEntry(1), toEntry(2)])
@@ -38,7 +38,7 @@
   t.deepEqual((await readAll(again)).at(-1), toEntry(5, 300))
 })
 
-test('a read in progress ends well though its segment is removed meanwhile', async (t) => {
+test('a read in progress returns all entries although compaction removes their segments', async (t) => {
   const store = await openStore(new MemoryFileSystem(), { segmentBytesMax: 200 })
   for (let index = 1; index <= 20; index++) await store.append([toEntry(index)])
   const [entries] = await Promise.all([
--- a/storage/log/test/crash.test.ts
+++ b/storage/log/test/crash.test.ts
@@ -19,7 +19,10 @@
 const small = { segmentBytesMax: 200, batchBytesMax: 150 }
 const crashKinds = [...lossKinds, 'killed'] as const
 
-/** Each state a reopened store may be in: from the last that was promised to the last that was asked for. */
+/**
+ * Runs the steps until a fault stops them. Returns the states that a reopened store may have: from that of the last
+ * command whose promise resolved to that of the last command started. `diskId` is undefined if the store did not open.
+ */
 async function runUntilCrash(files: MemoryFileSystem, steps: readonly Step[]) {
   const states = [emptyState]
   let lastResolvedPosition = 0
@@ -57,7 +60,7 @@
 async function findState(store: FileLogStore, allowed: readonly StoreState[]) {
   for (const state of allowed) if (await holdsState(store, state)) return state
   throw new Error(
-    `in no state allowed: ${JSON.stringify({
+    `store matches no allowed state: ${JSON.stringify({
       ...store.hardState,
       first: store.firstIndex,
       last: store.lastIndex,
@@ -82,7 +85,10 @@
   readonly kind: (typeof lossKinds)[number] | 'killed'
 }
 
-/** Crashes once while running and once while reopening; resolves to whether the second one came in time. */
+/**
+ * Crashes once while the steps run, reopens the store with a fault, crashes again and checks the reopened store.
+ * Returns whether the fault made the first reopening fail.
+ */
 async function checkCrashes(steps: readonly Step[], first: Crash, second: Crash): Promise<boolean> {
   const files = new MemoryFileSystem()
   crashAt(files, first.operation)
@@ -90,12 +96,13 @@
   const filesAfterFirstCrash = simulateCrash(files, first.kind)
   crashAt(filesAfterFirstCrash, second.operation)
   const firstReopened = await reopen(filesAfterFirstCrash).catch(() => undefined)
-  // What a reopened store shows counts as promised from then on.
+  // A state that a reopened store has shown must survive further crashes.
   const seen = firstReopened === undefined ? allowed : [await findState(firstReopened, allowed)]
   const filesAfterSecondCrash = simulateCrash(filesAfterFirstCrash, second.kind)
   const store = await reopen(filesAfterSecondCrash)
   const state = await findState(store, seen)
-  if (diskId !== undefined && store.diskId !== diskId) throw new Error('another disk identity')
+  if (diskId !== undefined && store.diskId !== diskId)
+    throw new Error('the disk identity has changed')
   const leftover = [...filesAfterSecondCrash.names.keys()].find((name) => name.endsWith('.tmp'))
   if (leftover !== undefined) throw new Error(`${leftover} is left over`)
   const added = toEntry(store.lastIndex + 1, 99)
@@ -105,7 +112,7 @@
   return firstReopened === undefined
 }
 
-test('after a crash at any file operation all that was promised is there, and nothing else', async (t) => {
+test('after crashes at any file operations, the store holds every confirmed change and only requested ones', async (t) => {
   let crashesInRecovery = 0
   const crashArbitrary = (operationMax: number) =>
     fc.record({ operation: fc.nat(operationMax), kind: fc.constantFrom(...crashKinds) })
@@ -123,7 +130,7 @@
   t.true(crashesInRecovery > 0)
 })
 
-test('no two crashes, one in an append and one in the recovery from it, lose anything', async (t) => {
+test('a crash in an append and a second one in its recovery lose no confirmed change', async (t) => {
   const append = { kind: 'append', count: 2, text: 'some text' } as const
   const steps = [{ command: append, awaited: true }]
   for (const kind of crashKinds) {
@@ -138,7 +145,7 @@
   }
 })
 
-test('a crash at any step of an install leaves the old state or the new one', async (t) => {
+test('a crash at any step of a snapshot installation leaves the old state or the new one', async (t) => {
   const seen = new Set<number>()
   for (const loss of crashKinds) {
     for (let step = 0, done = false; !done; step++) {
--- a/storage/log/test/damage.test.ts
+++ b/storage/log/test/damage.test.ts
@@ -18,7 +18,7 @@
 const small = { segmentBytesMax: 400 }
 const sealBytes = 24
 
-/** Three segments, a snapshot, and a clean close. */
+/** Creates a disk with at least three segments and a snapshot, closed cleanly. */
 async function createFilled(): Promise<MemoryFileSystem> {
   const files = new MemoryFileSystem()
   const store = await openStore(files, small)
@@ -43,7 +43,7 @@
   return opened instanceof NettlespurError ? opened : undefined
 }
 
-test('damage to any byte before the last seal is refused, with file and byte offset', async (t) => {
+test('a damaged byte anywhere before the last seal is refused, with file and byte offset', async (t) => {
   const filled = await createFilled()
   const segments = listSegments(filled)
   t.true(segments.length >= 3)
@@ -54,18 +54,18 @@
       const files = filled.crash('lost')
       flipBits(files, name, offset, 1 << (offset % 8))
       const error = await captureOpenError(files)
-      if (error?.kind !== 'storage-damaged') t.fail(`${name} at byte ${offset} was let through`)
+      if (error?.kind !== 'storage-damaged') t.fail(`${name} at byte ${offset} was accepted`)
       const reported = /^(.*) at byte (\d+):/.exec(error?.message ?? '')
       if (reported?.[1] !== name)
-        t.fail(`${name} at byte ${offset} was told as ${String(reported?.[1])}`)
+        t.fail(`${name} at byte ${offset} was reported as ${String(reported?.[1])}`)
       const distance = offset - Number(reported?.[2])
       if (distance < 0 || distance > 60)
-        t.fail(`${name} at byte ${offset} was told as ${reported?.[2]}`)
+        t.fail(`${name} at byte ${offset} was reported as ${reported?.[2]}`)
     }
   }
 })
 
-test('damage to any byte of the hard state or the disk identity is refused', async (t) => {
+test('a hard state or disk identity that is missing or has a damaged byte is refused', async (t) => {
   const filled = await createFilled()
   for (const name of ['hard-state', 'disk-id'].map((one) => path.join(folder, one))) {
     const size = filled.names.get(name)?.bytes.length ?? 0
@@ -73,7 +73,7 @@
       const files = filled.crash('lost')
       flipBits(files, name, offset, 1)
       const error = await captureOpenError(files)
-      if (error?.kind !== 'storage-damaged') t.fail(`${name} at byte ${offset} was let through`)
+      if (error?.kind !== 'storage-damaged') t.fail(`${name} at byte ${offset} was accepted`)
     }
     const files = filled.crash('lost')
     files.names.delete(name)
@@ -81,7 +81,7 @@
   }
 })
 
-test('a missing segment is refused, unless it is one that an install voids', async (t) => {
+test('a store is refused if any segment but the last is missing, or all are', async (t) => {
   const filled = await createFilled()
   const segments = listSegments(filled)
   for (const name of segments.slice(0, -1)) {
@@ -93,7 +93,7 @@
   t.is((await captureOpenError(filled))?.kind, 'storage-damaged')
 })
 
-test('segments missing between two that fit each other, and a gap of indexes, are refused', async (t) => {
+test('a gap in the indexes is refused, and so are missing segments that leave no gap in the indexes', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files, { segmentBytesMax: 1 })
   await store.append([toEntry(1), toEntry(2)])
@@ -113,7 +113,7 @@
   t.regex((await captureOpenError(missing))?.message ?? '', /is missing before it/)
 })
 
-test('a damaged snapshot is passed over only where the log reaches as far by itself', async (t) => {
+test('a damaged snapshot is skipped only if the log still holds all entries that it covers', async (t) => {
   const filled = await createFilled()
   const name = [...filled.names.keys()].find((one) => one.endsWith('.snap')) ?? ''
   flipBits(filled, name, 30, 1)
@@ -128,7 +128,7 @@
   t.is((await captureOpenError(compacted))?.kind, 'storage-damaged')
 })
 
-test('a damaged snapshot is refused where the log has lost what it stood for', async (t) => {
+test('a damaged snapshot is refused if the log ends before its index', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files, small)
   for (let index = 1; index <= 16; index++) await store.append([toEntry(index)])
@@ -140,7 +140,7 @@
   t.like(await captureOpenError(files), { kind: 'storage-damaged' })
 })
 
-test('a torn write at the end is cut, with a log line', async (t) => {
+test('a torn write at the end of the log is truncated and logged', async (t) => {
   for (const loss of ['halfKept', 'firstHalfLost', 'secondHalfLost'] as const) {
     const files = new MemoryFileSystem()
     const store = await openStore(files)
@@ -162,7 +162,7 @@
   }
 })
 
-test('an entry that no longer reads back is refused, not handed on', async (t) => {
+test('reading an entry that was damaged after the store opened is refused', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   await store.append([toEntry(1), toEntry(2)])
--- a/storage/log/test/fileLogStore.test.ts
+++ b/storage/log/test/fileLogStore.test.ts
@@ -10,7 +10,7 @@
 const range = (from: number, to: number, term = 1) =>
   Array.from({ length: to - from + 1 }, (_, position) => toEntry(from + position, term))
 
-test('entries, hard state and disk identity outlive a restart', async (t) => {
+test('entries, hard state and disk identity survive a crash after a clean close', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   t.deepEqual([store.firstIndex, store.lastIndex, store.lastTerm], [1, 0, 0])
@@ -24,7 +24,7 @@
   t.not((await openStore(new MemoryFileSystem())).diskId, store.diskId)
 })
 
-test('appends in progress together share one sync, and reads serve them meanwhile', async (t) => {
+test('concurrent appends share one write and one sync, and their entries can be read before that', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   const before = files.operations
@@ -35,7 +35,7 @@
   t.deepEqual(await readAll(store), range(1, 50))
 })
 
-test('a read gives at least one entry, then up to the bytes asked for', async (t) => {
+test('a read returns at least one entry if any is held, then up to the requested bytes', async (t) => {
   const store = await openStore(new MemoryFileSystem(), { segmentBytesMax: 200 })
   for (const entry of range(1, 9)) await store.append([entry])
   t.deepEqual(await store.read(2, 0), range(2, 2))
@@ -44,7 +44,7 @@
   t.deepEqual(await store.read(0, 100), [])
 })
 
-test('a truncation removes an entry and all after it, for good', async (t) => {
+test('a truncation removes an entry and all after it, also after a crash', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files, { segmentBytesMax: 200 })
   for (const entry of range(1, 9)) await store.append([entry])
@@ -57,7 +57,7 @@
   t.is(again.termAt(7), undefined)
 })
 
-test('a truncation of what another one is removing is done only when that one is', async (t) => {
+test('a truncation of entries that another one is already removing fails if that one fails', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   await store.append(range(1, 3))
@@ -68,7 +68,7 @@
   t.true(outcomes.every(({ status }) => status === 'rejected'))
 })
 
-test('entries that leave a gap and truncations behind a snapshot are the caller’s fault', async (t) => {
+test('an append that leaves a gap, a truncation within a snapshot and a snapshot past the log are refused', async (t) => {
   const store = await openStore(new MemoryFileSystem())
   await t.throwsAsync(store.append([toEntry(2)]), { message: /gap/ })
   await store.append(range(1, 5))
--- a/storage/log/test/folderLock.test.ts
+++ b/storage/log/test/folderLock.test.ts
@@ -12,7 +12,7 @@
   return path.join(created, 'store')
 }
 
-test('a real folder keeps its state from one process to the next', async (t) => {
+test('a store on a real folder keeps its state when it is closed and reopened', async (t) => {
   const opts = { folder: await createFolder(t), segmentBytesMax: 300 }
   const store = await openStore(new NodeFileSystem(), opts)
   for (let index = 1; index <= 20; index++) await store.append([toEntry(index)])
@@ -31,7 +31,7 @@
   t.false((await readdir(opts.folder)).some((name) => name.startsWith('lock-')))
 })
 
-test('a folder in use is refused, by the same process and by another that lives', async (t) => {
+test('a folder locked by this process or by another live one is refused', async (t) => {
   const opts = { folder: await createFolder(t) }
   const store = await openStore(new NodeFileSystem(), opts)
   t.like(await t.throwsAsync(openStore(new NodeFileSystem(), opts)), { kind: 'storage-failed' })
@@ -48,7 +48,7 @@
   await again.close()
 })
 
-test('of two openings in one process at the same time one holds the folder', async (t) => {
+test('of two concurrent opens in one process exactly one succeeds', async (t) => {
   const opts = { folder: await createFolder(t) }
   const files = new NodeFileSystem()
   const outcomes = await Promise.allSettled([openStore(files, opts), openStore(files, opts)])
@@ -58,7 +58,7 @@
   await stores[0]?.close()
 })
 
-test('the lock of a process that has ended is taken over, also where its id is in use again', async (t) => {
+test('the lock of an ended process is removed, even if its process id is in use again', async (t) => {
   const opts = { folder: await createFolder(t) }
   await (await openStore(new NodeFileSystem(), opts)).close()
   await writeFile(path.join(opts.folder, `lock-${process.ppid}-1-otherboot`), '')
@@ -69,7 +69,7 @@
   await store.close()
 })
 
-test('of two processes that start together at most one holds the folder', async (t) => {
+test('of two processes that start together at most one opens the folder', async (t) => {
   const disk = new MemoryFileSystem()
   await (await openStore(disk)).close()
   const [left, right] = [shareDisk(disk, 'left'), shareDisk(disk, 'right')]
@@ -78,7 +78,7 @@
   t.is(path.dirname([...disk.names.keys()][0] ?? ''), folder)
 })
 
-/** The same disk seen by a process of its own, which lives. */
+/** Returns the same disk as another process sees it, to which every process is alive. */
 function shareDisk(disk: MemoryFileSystem, token: string): MemoryFileSystem {
   const own = {
     readProcessToken: () => Promise.resolve(token),
@@ -92,7 +92,7 @@
   })
 }
 
-test('where others keep processes apart no lock is taken, and one left behind keeps nobody out', async (t) => {
+test('with locksFolder false a store takes no lock and opens despite a lock file in the folder', async (t) => {
   const opts = { folder: await createFolder(t), locksFolder: false }
   await (await openStore(new NodeFileSystem(), opts)).close()
   await writeFile(path.join(opts.folder, `lock-${await readProcessToken()}`), '')
--- a/storage/log/test/foreignRecords.test.ts
+++ b/storage/log/test/foreignRecords.test.ts
@@ -1,4 +1,4 @@
-/** Records on disk that are whole, and yet of another writer or of a newer version: refused by name. */
+/** Files with a valid checksum whose contents are of another writer or a newer version must not be accepted. */
 import { NettlespurError } from '@nettlespur/core.errors'
 import test from 'ava'
 import path from 'node:path'
@@ -15,7 +15,7 @@
   return files
 }
 
-test('a small file of other content under a good checksum is refused by its name', async (t) => {
+test('a small file with unexpected contents and a valid checksum is refused with its path', async (t) => {
   const contents: Record<string, unknown[]> = {
     'hard-state': [{ term: 2, fieldOfNewerVersion: 1 }, { term: 'two' }, { term: -1 }, [], null],
     'disk-id': [{ diskId: 'd', fieldOfNewerVersion: 1 }, { diskId: '' }, { diskId: 7 }, 'text'],
@@ -31,7 +31,7 @@
   }
 })
 
-test('a snapshot whose head is of a newer version, or no head, is not taken', (t) => {
+test('a snapshot with an unknown field or a wrong type in its header is not decoded', (t) => {
   const id = { generation: 0, index: 4 }
   const whole = { generation: 0, installed: false, ...toSnapshot(4, 1) }
   t.truthy(decodeSnapshot(encodeSnapshot(whole), id))
--- a/storage/log/test/fullDisk.test.ts
+++ b/storage/log/test/fullDisk.test.ts
@@ -1,4 +1,7 @@
-/** A disk that is full now and then: what it refused never was, and what it took is there after any crash. */
+/**
+ * A disk that is full from time to time: a refused change must leave no trace, and a confirmed change must survive
+ * any crash.
+ */
 import test from 'ava'
 import fc from 'fast-check'
 import {
@@ -15,10 +18,10 @@
 const small = { segmentBytesMax: 200, batchBytesMax: 150 }
 const allocatingOperations = new Set(['write', 'createFile'])
 
-test('over any changes and any spells without room a store holds what it took, also after a crash', async (t) => {
+test('with a disk that is full at any writes, a store holds exactly the confirmed changes, also after a crash', async (t) => {
   const plan = fc.record({
     steps: stepsArbitrary,
-    /** By operation that needs room, whether there is some. */
+    /** For each allocating operation in turn, whether the disk has room for it; repeats from the start. */
     room: fc.array(fc.boolean(), { minLength: 1, maxLength: 25 }),
     loss: fc.constantFrom(...lossKinds),
   })
--- a/storage/log/test/fullInstall.test.ts
+++ b/storage/log/test/fullInstall.test.ts
@@ -1,7 +1,6 @@
 /**
- * A disk that fills up right behind a snapshot that a leader sent: the snapshot had room, the segment that is
- * to follow it has none. The store must not stop for good there, as a member is sent a snapshot just when it
- * comes back from a disk that was full.
+ * A disk that has room for a snapshot from the leader, but not for the segment that follows it. The store must accept
+ * writes again once there is room: a member often receives a snapshot just as it recovers from a full disk.
  */
 import test from 'ava'
 import {
@@ -14,7 +13,7 @@
   toSnapshot,
 } from '../__utils__/index.js'
 
-/** Room for so many files more, then for none. */
+/** Lets `fileCount` more files be created. The next creation, and every creation or write after it, fails with `ENOSPC`. */
 function limitCreatedFiles(files: MemoryFileSystem, fileCount: number): void {
   let created = 0
   files.injectFault = (operation) => {
@@ -25,7 +24,7 @@
 }
 
 for (const fileCount of [0, 1, 2]) {
-  test(`a disk with room for ${fileCount} files more at an installation takes every change later`, async (t) => {
+  test(`a store with room for ${fileCount} more files at a snapshot installation accepts changes once there is room`, async (t) => {
     for (const loss of lossKinds) {
       const files = new MemoryFileSystem()
       const store = await openStore(files)
--- a/storage/log/test/writeFaults.test.ts
+++ b/storage/log/test/writeFaults.test.ts
@@ -17,14 +17,14 @@
   installSnapshot: (store) => store.installSnapshot(toSnapshot(50, 8)),
 }
 const faults = [
-  // What a sync that found no room has left on the disk is not known.
+  // A sync that fails with ENOSPC leaves unknown contents on the disk, so it does not count as a full disk.
   { operation: 'sync', code: 'ENOSPC', kind: 'storage-failed' },
   { operation: 'sync', code: 'EIO', kind: 'storage-failed' },
   { operation: 'write', code: 'EIO', kind: 'storage-failed' },
 ] as const
 
 for (const { operation, code, kind } of faults) {
-  test(`${code} on ${operation} stops all writes for good, and reads go on`, async (t) => {
+  test(`${code} on ${operation} makes all later writes fail, while reads still work`, async (t) => {
     for (const [name, write] of Object.entries(writes)) {
       const files = new MemoryFileSystem()
       const store = await openStore(files)
@@ -47,7 +47,7 @@
 }
 
 for (const [name, write] of Object.entries(writes)) {
-  test(`a disk that was full at ${name} takes every change again once it has room`, async (t) => {
+  test(`a store whose disk was full at ${name} accepts changes again once there is room`, async (t) => {
     const files = new MemoryFileSystem()
     const store = await openStore(files)
     await store.append([toEntry(1), toEntry(2), toEntry(3)])
@@ -69,7 +69,7 @@
   })
 }
 
-test('changes that waited behind a failed write fail with it and are undone', async (t) => {
+test('changes queued behind a failed write fail with it and are undone', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   await store.append([toEntry(1), toEntry(2), toEntry(3)])
@@ -89,7 +89,7 @@
   t.deepEqual(await readAll(store), [toEntry(1), toEntry(2), toEntry(3)])
 })
 
-test('a full disk at the start is told as such and leaves the folder free', async (t) => {
+test('opening a store on a full disk fails with disk-full and leaves the folder unlocked', async (t) => {
   const files = new MemoryFileSystem()
   files.injectFault = (operation) => {
     if (operation === 'write') throwFileSystemError('ENOSPC')
