--- a/storage/log/test/crash.test.ts
+++ b/storage/log/test/crash.test.ts
@@ -32,8 +32,8 @@
     const store = await openStore(files, small)
     diskId = store.diskId
     for (const { command, awaited } of steps) {
-      const runsAlone = command.kind === 'install'
-      if (runsAlone) await Promise.all(calls)
+      const alone = command.kind === 'install'
+      if (alone) await Promise.all(calls)
       const plan = planCommand(states.at(-1) ?? emptyState, command)
       if (plan === undefined) continue
       states.push(plan.next)
@@ -43,7 +43,7 @@
       })
       call.catch(() => undefined)
       calls.push(call)
-      if (awaited || runsAlone) await call
+      if (awaited || alone) await call
     }
     await Promise.all(calls)
     await store.close()
