--- a/storage/log/__utils__/storeModel.ts
+++ b/storage/log/__utils__/storeModel.ts
@@ -1,4 +1,4 @@
-/** What a store should hold after some commands: the plain truth that a reopened one is held against. */
+/** A model of the log store: the state expected after a sequence of commands, to compare a reopened store with. */
 import fc from 'fast-check'
 import type { HardState, LogEntry, LogStore, Snapshot } from '../src/index.js'
 import { readAll, toEntry } from './storeHelpers.js'
@@ -7,10 +7,11 @@
   readonly hardState: HardState
   readonly snapshotIndex: number
   readonly snapshotTerm: number
-  /** The store may hold entries from here on, and must from `keptIndex` on. */
-  readonly floorIndex: number
-  readonly keptIndex: number
-  /** All entries from `floorIndex` on. */
+  /** The lowest `firstIndex` that the store may have. */
+  readonly minFirstIndex: number
+  /** The highest `firstIndex` that the store may have; `minFirstIndex` if that is higher. */
+  readonly maxFirstIndex: number
+  /** All entries from `minFirstIndex` on. */
   readonly entries: readonly LogEntry[]
 }
 
@@ -21,7 +22,7 @@
   | { readonly kind: 'snapshot'; readonly back: number; readonly keep: number }
   | { readonly kind: 'install'; readonly ahead: number }
 
-/** A command, and whether the next one waits for it. */
+/** A command, and whether it must complete before the next one starts. */
 export interface Step {
   readonly command: Command
   readonly awaited: boolean
@@ -31,8 +32,8 @@
   hardState: { term: 0, votedFor: undefined },
   snapshotIndex: 0,
   snapshotTerm: 0,
-  floorIndex: 1,
-  keptIndex: 1,
+  minFirstIndex: 1,
+  maxFirstIndex: 1,
   entries: [],
 }
 
@@ -59,12 +60,15 @@
   { maxLength: 15 },
 )
 
-/** The state after the command, and the call that asks the store for it; undefined where it does not apply. */
+/**
+ * Returns the state after the command, and a function that runs the command on a store. Returns undefined if the
+ * command is a snapshot at an index without an entry or not after the current snapshot.
+ */
 export function planCommand(
   state: StoreState,
   command: Command,
 ): { next: StoreState; run: (store: LogStore) => Promise<void> } | undefined {
-  const lastIndex = state.floorIndex + state.entries.length - 1
+  const lastIndex = state.minFirstIndex + state.entries.length - 1
   const term = state.hardState.term + 1
   switch (command.kind) {
     case 'append': {
@@ -87,16 +91,16 @@
       const index = lastIndex - command.back
       const entry = state.entries.find((one) => one.index === index)
       if (entry === undefined || index <= state.snapshotIndex) return undefined
-      const keptIndex = Math.max(state.keptIndex, index - command.keep + 1)
-      const next = { ...state, keptIndex, snapshotIndex: index, snapshotTerm: entry.term }
+      const maxFirstIndex = Math.max(state.maxFirstIndex, index - command.keep + 1)
+      const next = { ...state, maxFirstIndex, snapshotIndex: index, snapshotTerm: entry.term }
       const snapshot = toSnapshot(index, entry.term)
       return { next, run: (store) => store.saveSnapshot(snapshot, command.keep) }
     }
     case 'install': {
       const index = Math.max(1, lastIndex + command.ahead)
-      const floorIndex = index + 1
+      const minFirstIndex = index + 1
       const installed = { snapshotIndex: index, snapshotTerm: term, entries: [] }
-      const next = { ...state, ...installed, floorIndex, keptIndex: floorIndex }
+      const next = { ...state, ...installed, minFirstIndex, maxFirstIndex: minFirstIndex }
       return { next, run: (store) => store.installSnapshot(toSnapshot(index, term)) }
     }
   }
@@ -109,7 +113,7 @@
   }
 }
 
-/** Whether the store holds exactly the state. */
+/** Whether the store matches the state, with a `firstIndex` within its bounds. */
 export async function holdsState(store: LogStore, state: StoreState): Promise<boolean> {
   const { snapshotMeta, hardState } = store
   const snapshot = await store.readSnapshot()
@@ -122,9 +126,9 @@
     snapshotMeta.index === state.snapshotIndex &&
     snapshotMeta.term === state.snapshotTerm &&
     (snapshot?.data.toString() ?? '') === expected &&
-    store.firstIndex >= state.floorIndex &&
-    store.firstIndex <= Math.max(state.keptIndex, state.floorIndex) &&
-    store.lastIndex === state.floorIndex + state.entries.length - 1 &&
+    store.firstIndex >= state.minFirstIndex &&
+    store.firstIndex <= Math.max(state.maxFirstIndex, state.minFirstIndex) &&
+    store.lastIndex === state.minFirstIndex + state.entries.length - 1 &&
     entries.length === wanted.length &&
     entries.every((entry, position) => isSame(entry, wanted[position]))
   )
--- a/storage/log/test/crash.test.ts
+++ b/storage/log/test/crash.test.ts
@@ -19,10 +19,13 @@
 const small = { segmentBytesMax: 200, batchBytesMax: 150 }
 const crashKinds = [...lossKinds, 'killed'] as const
 
-/** Each state a reopened store may be in: from the last that was promised to the last that was asked for. */
+/**
+ * Runs the steps until a fault stops them. Returns the states that a reopened store may have: from that of the last
+ * command whose promise resolved to that of the last command started. `diskId` is undefined if the store did not open.
+ */
 async function runUntilCrash(files: MemoryFileSystem, steps: readonly Step[]) {
   const states = [emptyState]
-  let promised = 0
+  let lastResolvedPosition = 0
   let diskId: string | undefined
   const calls: Promise<void>[] = []
   try {
@@ -36,7 +39,7 @@
       states.push(plan.next)
       const position = states.length - 1
       const call = plan.run(store).then(() => {
-        promised = position
+        lastResolvedPosition = position
       })
       call.catch(() => undefined)
       calls.push(call)
@@ -47,7 +50,7 @@
   } catch {
     await Promise.allSettled(calls)
   }
-  return { allowed: states.slice(promised), diskId }
+  return { allowed: states.slice(lastResolvedPosition), diskId }
 }
 
 async function reopen(files: MemoryFileSystem): Promise<FileLogStore> {
@@ -57,7 +60,7 @@
 async function findState(store: FileLogStore, allowed: readonly StoreState[]) {
   for (const state of allowed) if (await holdsState(store, state)) return state
   throw new Error(
-    `in no state allowed: ${JSON.stringify({
+    `store matches no allowed state: ${JSON.stringify({
       ...store.hardState,
       first: store.firstIndex,
       last: store.lastIndex,
@@ -68,12 +71,12 @@
 }
 
 function crashAt(files: MemoryFileSystem, operation: number): void {
-  files.fault = (_operation, _file, count) => {
+  files.injectFault = (_operation, _file, count) => {
     if (count >= operation) throw new Error('crashed')
   }
 }
 
-function goDown(files: MemoryFileSystem, kind: Crash['kind']) {
+function simulateCrash(files: MemoryFileSystem, kind: Crash['kind']) {
   return kind === 'killed' ? files.kill() : files.crash(kind)
 }
 
@@ -82,30 +85,34 @@
   readonly kind: (typeof lossKinds)[number] | 'killed'
 }
 
-/** Crashes once while running and once while reopening; resolves to whether the second one came in time. */
+/**
+ * Crashes once while the steps run, reopens the store with a fault, crashes again and checks the reopened store.
+ * Returns whether the fault made the first reopening fail.
+ */
 async function checkCrashes(steps: readonly Step[], first: Crash, second: Crash): Promise<boolean> {
   const files = new MemoryFileSystem()
   crashAt(files, first.operation)
   const { allowed, diskId } = await runUntilCrash(files, steps)
-  const found = goDown(files, first.kind)
-  crashAt(found, second.operation)
-  const early = await reopen(found).catch(() => undefined)
-  // What a reopened store shows counts as promised from then on.
-  const seen = early === undefined ? allowed : [await findState(early, allowed)]
-  const foundAgain = goDown(found, second.kind)
-  const store = await reopen(foundAgain)
+  const filesAfterFirstCrash = simulateCrash(files, first.kind)
+  crashAt(filesAfterFirstCrash, second.operation)
+  const firstReopened = await reopen(filesAfterFirstCrash).catch(() => undefined)
+  // A state that a reopened store has shown must survive further crashes.
+  const seen = firstReopened === undefined ? allowed : [await findState(firstReopened, allowed)]
+  const filesAfterSecondCrash = simulateCrash(filesAfterFirstCrash, second.kind)
+  const store = await reopen(filesAfterSecondCrash)
   const state = await findState(store, seen)
-  if (diskId !== undefined && store.diskId !== diskId) throw new Error('another disk identity')
-  const leftover = [...foundAgain.names.keys()].find((name) => name.endsWith('.tmp'))
+  if (diskId !== undefined && store.diskId !== diskId)
+    throw new Error('the disk identity has changed')
+  const leftover = [...filesAfterSecondCrash.names.keys()].find((name) => name.endsWith('.tmp'))
   if (leftover !== undefined) throw new Error(`${leftover} is left over`)
   const added = toEntry(store.lastIndex + 1, 99)
   await store.append([added])
-  const last = await reopen(foundAgain.crash('lost'))
+  const last = await reopen(filesAfterSecondCrash.crash('lost'))
   await findState(last, [{ ...state, entries: [...state.entries, added] }])
-  return early === undefined
+  return firstReopened === undefined
 }
 
-test('after a crash at any file operation all that was promised is there, and nothing else', async (t) => {
+test('after crashes at any file operations, the store holds every confirmed change and only requested ones', async (t) => {
   let crashesInRecovery = 0
   const crashArbitrary = (operationMax: number) =>
     fc.record({ operation: fc.nat(operationMax), kind: fc.constantFrom(...crashKinds) })
@@ -123,7 +130,7 @@
   t.true(crashesInRecovery > 0)
 })
 
-test('no two crashes, one in an append and one in the recovery from it, lose anything', async (t) => {
+test('a crash in an append and a second one in its recovery lose no confirmed change', async (t) => {
   const append = { kind: 'append', count: 2, text: 'some text' } as const
   const steps = [{ command: append, awaited: true }]
   for (const kind of crashKinds) {
@@ -138,7 +145,7 @@
   }
 })
 
-test('a crash at any step of an install leaves the old state or the new one', async (t) => {
+test('a crash at any step of a snapshot installation leaves the old state or the new one', async (t) => {
   const seen = new Set<number>()
   for (const loss of crashKinds) {
     for (let step = 0, done = false; !done; step++) {
@@ -152,7 +159,7 @@
         () => false,
       )
       done = outcome
-      const again = await reopen(goDown(files, loss))
+      const again = await reopen(simulateCrash(files, loss))
       const { index } = again.snapshotMeta
       const entries = await readAll(again)
       if (index === 9) t.deepEqual([again.firstIndex, again.lastIndex, again.lastTerm], [10, 9, 5])
--- a/storage/log/test/writeFaults.test.ts
+++ b/storage/log/test/writeFaults.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import {
-  failWith,
+  throwFileSystemError,
   MemoryFileSystem,
   openStore,
   readAll,
@@ -17,23 +17,23 @@
   installSnapshot: (store) => store.installSnapshot(toSnapshot(50, 8)),
 }
 const faults = [
-  // What a sync that found no room has left on the disk is not known.
+  // A sync that fails with ENOSPC leaves unknown contents on the disk, so it does not count as a full disk.
   { operation: 'sync', code: 'ENOSPC', kind: 'storage-failed' },
   { operation: 'sync', code: 'EIO', kind: 'storage-failed' },
   { operation: 'write', code: 'EIO', kind: 'storage-failed' },
 ] as const
 
 for (const { operation, code, kind } of faults) {
-  test(`${code} on ${operation} stops all writes for good, and reads go on`, async (t) => {
+  test(`${code} on ${operation} makes all later writes fail, while reads still work`, async (t) => {
     for (const [name, write] of Object.entries(writes)) {
       const files = new MemoryFileSystem()
       const store = await openStore(files)
       await store.append([toEntry(1), toEntry(2), toEntry(3)])
-      files.fault = (called) => {
-        if (called === operation) failWith(code)
+      files.injectFault = (called) => {
+        if (called === operation) throwFileSystemError(code)
       }
       t.like(await t.throwsAsync(write(store)), { kind }, name)
-      files.fault = () => undefined
+      files.injectFault = () => undefined
       const before = files.operations
       for (const next of Object.values(writes)) t.like(await t.throwsAsync(next(store)), { kind })
       t.is(files.operations, before)
@@ -47,18 +47,18 @@
 }
 
 for (const [name, write] of Object.entries(writes)) {
-  test(`a disk that was full at ${name} takes every change again once it has room`, async (t) => {
+  test(`a store whose disk was full at ${name} accepts changes again once there is room`, async (t) => {
     const files = new MemoryFileSystem()
     const store = await openStore(files)
     await store.append([toEntry(1), toEntry(2), toEntry(3)])
-    files.fault = (operation) => {
-      if (operation === 'write' || operation === 'createFile') failWith('ENOSPC')
+    files.injectFault = (operation) => {
+      if (operation === 'write' || operation === 'createFile') throwFileSystemError('ENOSPC')
     }
     t.like(await t.throwsAsync(write(store)), { kind: 'disk-full' })
     t.like(await t.throwsAsync(store.append([toEntry(4, 2)])), { kind: 'disk-full' })
     t.deepEqual(await readAll(store), [toEntry(1), toEntry(2), toEntry(3)])
     t.deepEqual([store.lastIndex, store.hardState.term, store.snapshotMeta.index], [3, 0, 0])
-    files.fault = () => undefined
+    files.injectFault = () => undefined
     await store.append([toEntry(4, 5, 'a longer text than that of the entry refused')])
     await store.truncateFrom(3)
     await store.saveHardState({ term: 8, votedFor: 'y' })
@@ -69,12 +69,12 @@
   })
 }
 
-test('changes that waited behind a failed write fail with it and are undone', async (t) => {
+test('changes queued behind a failed write fail with it and are undone', async (t) => {
   const files = new MemoryFileSystem()
   const store = await openStore(files)
   await store.append([toEntry(1), toEntry(2), toEntry(3)])
-  files.fault = (operation) => {
-    if (operation === 'sync') failWith('EIO')
+  files.injectFault = (operation) => {
+    if (operation === 'sync') throwFileSystemError('EIO')
   }
   const calls = [
     store.append([toEntry(4)]),
@@ -89,13 +89,13 @@
   t.deepEqual(await readAll(store), [toEntry(1), toEntry(2), toEntry(3)])
 })
 
-test('a full disk at the start is told as such and leaves the folder free', async (t) => {
+test('opening a store on a full disk fails with disk-full and leaves the folder unlocked', async (t) => {
   const files = new MemoryFileSystem()
-  files.fault = (operation) => {
-    if (operation === 'write') failWith('ENOSPC')
+  files.injectFault = (operation) => {
+    if (operation === 'write') throwFileSystemError('ENOSPC')
   }
   t.like(await t.throwsAsync(openStore(files)), { kind: 'disk-full' })
-  files.fault = () => undefined
+  files.injectFault = () => undefined
   const store = await openStore(files)
   t.is(store.lastIndex, 0)
 })
