--- a/entry/requests/src/equalShareQuotas.ts
+++ b/entry/requests/src/equalShareQuotas.ts
@@ -18,7 +18,7 @@
   readonly #entryId: string
   /** The standings below are of these entries. */
   #entries: readonly unknown[] = []
-  readonly #standings = new Map<string, Standing>()
+  readonly #standings = new Map<string, EntryRank>()
 
   constructor(opts: EqualShareQuotasOptions) {
     super()
@@ -40,7 +40,7 @@
   }
 
   /** How many entries live, and this one's place among them for the workspace. */
-  #standing(workspace: string): Standing {
+  #standing(workspace: string): EntryRank {
     const entries = this.#view.entries.value
     if (entries !== this.#entries) {
       this.#entries = entries
@@ -57,7 +57,7 @@
   }
 }
 
-interface Standing {
+interface EntryRank {
   readonly count: number
   readonly rank: number
 }
--- a/entry/requests/src/httpTaskTransport.ts
+++ b/entry/requests/src/httpTaskTransport.ts
@@ -18,10 +18,10 @@
 
 /** Made once: a reason made for each request would cost a stack trace. */
 const settledReason = new Error('the first connection answered or failed')
-const longestAskMs = 15_000
-const askAgainGrowth = 2
+const longestPollIntervalMs = 15_000
+const pollIntervalGrowth = 2
 /** Between two looks at a task whose connection was cut while it ran. */
-const followUpMs = 100
+const followUpIntervalMs = 100
 
 export interface HttpTaskTransportOptions {
   clock: Clock
@@ -67,10 +67,10 @@
     if (task.givenUp.aborted) giveUp()
     try {
       const opened = this.#open(task, cut.signal)
-      const found = await this.#askWhileSilent(task, opened, inquiry)
+      const found = await this.#pollWhileSilent(task, opened, inquiry)
       if (found === undefined) return await this.#finish(task, await opened, inquiry)
       cut.abort()
-      this.#pools.of(task.address).distrust()
+      this.#pools.of(task.address).retireConnections()
       return found
     } finally {
       task.givenUp.removeEventListener('abort', giveUp)
@@ -96,7 +96,7 @@
   }
 
   /** Undefined as soon as the first connection answers or fails. */
-  async #askWhileSilent(
+  async #pollWhileSilent(
     task: TaskRun,
     opened: Promise<Opened>,
     inquiry: TaskInquiry,
@@ -111,12 +111,12 @@
       await this.#opts.clock.sleep(waitMs, settled.signal)
       if (isSettled() || task.givenUp.aborted) return undefined
       const state = await inquiry.askState()
-      const found = await this.#readEnd(task, state, inquiry)
+      const found = await this.#interpretState(task, state, inquiry)
       if (isSettled()) return undefined
       if (found !== undefined) return found
       // A repeatable request is served sooner elsewhere.
       if (state === undefined && task.repeatable) return createLostOutcome('the upstream is silent')
-      waitMs = Math.min(longestAskMs, waitMs * askAgainGrowth)
+      waitMs = Math.min(longestPollIntervalMs, waitMs * pollIntervalGrowth)
     }
   }
 
@@ -136,19 +136,19 @@
 
   /** Asks after a task whose connection was cut, for as long as its upstream says that it runs. */
   async #followUp(task: TaskRun, lost: TaskOutcome, inquiry: TaskInquiry): Promise<TaskOutcome> {
-    while (!task.givenUp.aborted && !inquiry.isLate) {
+    while (!task.givenUp.aborted && !inquiry.isPastDeadline) {
       const state = await inquiry.askState()
-      const found = await this.#readEnd(task, state, inquiry)
+      const found = await this.#interpretState(task, state, inquiry)
       if (found !== undefined) return found
       // A repeatable request is served sooner elsewhere.
       if (state !== 'running' || task.repeatable) return lost
-      await this.#opts.clock.sleep(followUpMs, task.givenUp)
+      await this.#opts.clock.sleep(followUpIntervalMs, task.givenUp)
     }
     return lost
   }
 
   /** What the state means for the attempt; undefined where it says nothing final. */
-  async #readEnd(
+  async #interpretState(
     task: TaskRun,
     state: TaskState | undefined,
     inquiry: TaskInquiry,
@@ -158,7 +158,7 @@
       return createLostOutcome(`the task is ${state}`)
     if (state !== 'unknown' && state !== 'never-runs') return undefined
     const forbidden = state === 'never-runs' || (await inquiry.forbidStart()) === 'never-runs'
-    if (forbidden && (await inquiry.remembers())) return createNeverRunsOutcome(task)
+    if (forbidden && (await inquiry.hasKeptTasks())) return createNeverRunsOutcome(task)
     return createLostOutcome('its upstream does not know it, and may have forgotten it')
   }
 
--- a/entry/requests/src/localRequestRouter.ts
+++ b/entry/requests/src/localRequestRouter.ts
@@ -42,19 +42,19 @@
   lost: NettlespurError | undefined
 }
 
-type Attempted = Exclude<TaskOutcome, { kind: 'answered' }>
+type FailedOutcome = Exclude<TaskOutcome, { kind: 'answered' }>
 
 export class LocalRequestRouter extends RequestRouter {
   readonly #opts: LocalRequestRouterOptions
-  readonly #rates: RateLimiter
-  readonly #retries: RateLimiter
+  readonly #rateLimits: RateLimiter
+  readonly #retryBudget: RateLimiter
   readonly #abandoned = new AbortController()
 
   constructor(opts: LocalRequestRouterOptions) {
     super()
     this.#opts = opts
-    this.#rates = new RateLimiter(opts.clock)
-    this.#retries = new RateLimiter(opts.clock)
+    this.#rateLimits = new RateLimiter(opts.clock)
+    this.#retryBudget = new RateLimiter(opts.clock)
   }
 
   override run(request: ShortRequest): EitherAsync<NettlespurError, ShortAnswer> {
@@ -97,7 +97,7 @@
     if (lapsed !== undefined) throw lapsed
     const quota = this.#quotaOf(request.workspace)
     const rate = { perSecond: quota.requestsPerSecond, burst: quota.requestBurst }
-    const refusal = this.#rates.refusal(request.workspace, rate)
+    const refusal = this.#rateLimits.acquire(request.workspace, rate)
     if (refusal !== undefined) throw refusal
   }
 
@@ -151,7 +151,7 @@
     })
   }
 
-  #noteFailure(progress: Progress, slot: SlotGrant, outcome: Attempted): void {
+  #noteFailure(progress: Progress, slot: SlotGrant, outcome: FailedOutcome): void {
     progress.tried.add(slot.upstream.upstreamId)
     if (outcome.kind === 'lost') progress.lost = outcome.error
     this.#opts.metrics.count(`request_attempts_failed_total{outcome="${outcome.kind}"}`)
@@ -167,7 +167,7 @@
   }
 
   /** Throws the final answer where the request may not be tried again. */
-  #checkRetry(progress: Progress, outcome: Attempted): void {
+  #checkRetry(progress: Progress, outcome: FailedOutcome): void {
     const { request } = progress
     if (progress.lost !== undefined && !request.repeatable)
       throw createFinalError(progress, outcome)
@@ -182,7 +182,7 @@
   #takeRetry(workspace: string): boolean {
     const perSecond = this.#quotaOf(workspace).retriesPerSecond
     const rate = { perSecond, burst: Math.max(1, perSecond) }
-    return perSecond > 0 && this.#retries.refusal(workspace, rate) === undefined
+    return perSecond > 0 && this.#retryBudget.acquire(workspace, rate) === undefined
   }
 
   async #nextSlot(progress: Progress): Promise<SlotGrant> {
@@ -234,7 +234,7 @@
   return new NettlespurError('draining', message, { retryAfterMs })
 }
 
-function createFinalError(progress: Progress, outcome: Attempted): NettlespurError {
+function createFinalError(progress: Progress, outcome: FailedOutcome): NettlespurError {
   if (progress.lost !== undefined) return createUnknownError(progress.lost)
   const kind = outcome.kind === 'not-sent' ? 'no-upstream' : 'upstream-refused'
   return new NettlespurError(kind, outcome.error.message, { retryAfterMs, cause: outcome.error })
--- a/entry/requests/src/rateLimiter.ts
+++ b/entry/requests/src/rateLimiter.ts
@@ -14,7 +14,7 @@
   }
 
   /** Undefined where the workspace is within its rate; otherwise `over-limit` with when to come back. */
-  refusal(workspace: string, rate: TokenBucketRate): NettlespurError | undefined {
+  acquire(workspace: string, rate: TokenBucketRate): NettlespurError | undefined {
     const outcome = this.#bucketOf(workspace, rate).take(rate)
     if (outcome.taken) return undefined
     const message = `more than ${rate.perSecond} a second here`
--- a/entry/requests/src/recordedTransport.ts
+++ b/entry/requests/src/recordedTransport.ts
@@ -4,7 +4,7 @@
 import type { AttemptResult, UpstreamRecords } from './upstreamRecords.js'
 
 /** Below this many times the typical duration, an attempt had too little time. */
-const hurriedFactor = 1.5
+const shortTimeoutFactor = 1.5
 
 export interface RecordedTransportOptions {
   clock: Clock
@@ -37,7 +37,7 @@
   #readResult(task: TaskRun, outcome: TaskOutcome): AttemptResult {
     if (outcome.kind === 'answered' || outcome.kind === 'refused') return outcome.kind
     const typicalMs = this.#opts.records.typicalMs(task.upstreamId) ?? 0
-    const hurried = outcome.kind === 'lost' && task.timeoutMs < typicalMs * hurriedFactor
+    const hurried = outcome.kind === 'lost' && task.timeoutMs < typicalMs * shortTimeoutFactor
     return task.givenUp.aborted || hurried ? 'refused' : 'failed'
   }
 }
--- a/entry/requests/src/taskInquiry.ts
+++ b/entry/requests/src/taskInquiry.ts
@@ -10,7 +10,7 @@
 import type { TaskOutcome, TaskRun } from './taskTransport.js'
 
 /** A question that gets no answer in this time has failed. */
-const questionMs = 1000
+const inquiryTimeoutMs = 1000
 const statusBytesMax = 65_536
 /** Node's own default agent would keep connections and use them again. */
 const newConnections = new http.Agent({ keepAlive: false })
@@ -33,7 +33,7 @@
     this.#opts = opts
   }
 
-  get isLate(): boolean {
+  get isPastDeadline(): boolean {
     return this.#opts.clock.monotonicMs() >= this.#opts.deadlineAtMs
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** False where the upstream may have restarted since, and so have run what it no longer knows. */
-  async remembers(): Promise<boolean> {
+  async hasKeptTasks(): Promise<boolean> {
     const { witnessTaskId } = this.#opts
     if (witnessTaskId === undefined) return false
     const state = await this.#ask('GET', '', undefined, witnessTaskId)
@@ -76,7 +76,7 @@
     taskId = this.#opts.task.taskId,
   ): Promise<TaskState | undefined> {
     const call = this.#call(method, part, taskId)
-    const timeoutMs = Math.min(questionMs, this.#remainingMs())
+    const timeoutMs = Math.min(inquiryTimeoutMs, this.#remainingMs())
     const answer = await callHttp({
       ...call,
       ...(body === undefined ? {} : { body }),
--- a/entry/requests/src/trustedPicker.ts
+++ b/entry/requests/src/trustedPicker.ts
@@ -14,7 +14,7 @@
 
   override pick(candidates: readonly SlotCandidate[]): PickedUpstream | undefined {
     return this.#picker.pick(
-      candidates.filter(({ upstream }) => this.#records.mayTake(upstream.upstreamId)),
+      candidates.filter(({ upstream }) => this.#records.canTakeRequest(upstream.upstreamId)),
     )
   }
 }
--- a/entry/requests/src/upstreamPool.ts
+++ b/entry/requests/src/upstreamPool.ts
@@ -18,7 +18,7 @@
   /** The task answered last: while the upstream knows it, it has not forgotten later ones. */
   lastAnsweredTaskId: string | undefined
   readonly #opts: UpstreamPoolOptions
-  readonly #provenMs = new WeakMap<Socket, number>()
+  readonly #lastUsedAtMs = new WeakMap<Socket, number>()
   #agent: http.Agent
 
   constructor(opts: UpstreamPoolOptions) {
@@ -29,7 +29,7 @@
   /** For one request, now. */
   get agent(): http.Agent {
     this.#agent.maxSockets = this.#opts.connectionsMax()
-    this.#closeUnproven()
+    this.#closeStale()
     return this.#agent
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** What runs on an old connection may end there; the connection is closed behind it. */
-  distrust(): void {
+  retireConnections(): void {
     const former = this.#agent
     this.#agent = this.#createAgent()
     Object.assign(former, { keepAlive: false })
@@ -58,15 +58,15 @@
       scheduling: 'lifo',
     })
     agent.on('free', (socket: Socket) => {
-      this.#provenMs.set(socket, clock.monotonicMs())
+      this.#lastUsedAtMs.set(socket, clock.monotonicMs())
     })
     return agent
   }
 
-  #closeUnproven(): void {
+  #closeStale(): void {
     const provenSinceMs = this.#opts.clock.monotonicMs() - this.#opts.connectionProvenMs
     for (const socket of listFree(this.#agent)) {
-      if ((this.#provenMs.get(socket) ?? 0) < provenSinceMs) socket.destroy()
+      if ((this.#lastUsedAtMs.get(socket) ?? 0) < provenSinceMs) socket.destroy()
     }
   }
 }
--- a/entry/requests/src/upstreamRecord.ts
+++ b/entry/requests/src/upstreamRecord.ts
@@ -9,8 +9,8 @@
 const outcomesNeeded = 5
 const failureShareMax = 0.5
 const newestShare = 0.1
-const shortestOutMs = 1000
-const longestOutMs = 60_000
+const shortestEjectionMs = 1000
+const longestEjectionMs = 60_000
 /** A trial that grew this far has ended. */
 const trialSlotsMax = 64
 
@@ -20,8 +20,8 @@
   #outcomes: boolean[] = []
   #meanMs = 0
   #answers = 0
-  #outUntilMs = Number.NEGATIVE_INFINITY
-  #outMs = shortestOutMs
+  #ejectedUntilMs = Number.NEGATIVE_INFINITY
+  #outMs = shortestEjectionMs
   /** Requests at a time while on trial; undefined while trusted. */
   #trialSlots: number | undefined
 
@@ -29,15 +29,15 @@
     this.#clock = clock
   }
 
-  get isOut(): boolean {
-    return this.#clock.monotonicMs() < this.#outUntilMs
+  get isEjected(): boolean {
+    return this.#clock.monotonicMs() < this.#ejectedUntilMs
   }
 
-  get outUntilMs(): number {
-    return this.#outUntilMs
+  get ejectedUntilMs(): number {
+    return this.#ejectedUntilMs
   }
 
-  get hasRoom(): boolean {
+  get hasTrialCapacity(): boolean {
     return this.#trialSlots === undefined || this.inFlight < this.#trialSlots
   }
 
@@ -46,7 +46,7 @@
     return this.#answers < outcomesNeeded ? undefined : this.#meanMs
   }
 
-  get failsMost(): boolean {
+  get hasHighFailureRate(): boolean {
     const failures = this.#outcomes.filter((good) => !good).length
     const seen = this.#outcomes.length
     if (this.#trialSlots !== undefined) return failures > 0
@@ -61,7 +61,7 @@
     this.#trialSlots *= 2
     if (this.#trialSlots <= trialSlotsMax) return
     this.#trialSlots = undefined
-    this.#outMs = shortestOutMs
+    this.#outMs = shortestEjectionMs
   }
 
   noteFailure(): void {
@@ -69,10 +69,10 @@
   }
 
   /** Lets it out for a while; resolves nothing by itself. Returns for how long, in milliseconds. */
-  letOut(): number {
+  eject(): number {
     const outMs = this.#outMs
-    this.#outUntilMs = this.#clock.monotonicMs() + outMs
-    this.#outMs = Math.min(longestOutMs, outMs * 2)
+    this.#ejectedUntilMs = this.#clock.monotonicMs() + outMs
+    this.#outMs = Math.min(longestEjectionMs, outMs * 2)
     this.#trialSlots = 1
     this.#outcomes = []
     this.#answers = 0
--- a/entry/requests/src/upstreamRecords.ts
+++ b/entry/requests/src/upstreamRecords.ts
@@ -11,7 +11,7 @@
 const slowFactor = 4
 /** Differences below this are not worth a decision. */
 const slowFloorMs = 50
-const outShareMax = 0.5
+const ejectedShareMax = 0.5
 const recordsKeptMax = 1024
 
 /** How an attempt ended, as far as it tells of the upstream. */
@@ -34,9 +34,9 @@
   }
 
   /** Whether it may be given one more request now. */
-  mayTake(upstreamId: string): boolean {
+  canTakeRequest(upstreamId: string): boolean {
     const record = this.#records.get(upstreamId)
-    return record === undefined || (!record.isOut && record.hasRoom)
+    return record === undefined || (!record.isEjected && record.hasTrialCapacity)
   }
 
   noteStart(upstreamId: string): void {
@@ -48,11 +48,11 @@
     const record = this.#recordOf(upstreamId)
     record.inFlight -= 1
     // What was under way when it was let out says nothing new.
-    if (record.isOut || outcome.result === 'refused') return
+    if (record.isEjected || outcome.result === 'refused') return
     if (outcome.result === 'answered') record.noteAnswer(outcome.tookMs)
     else record.noteFailure()
     const reason = this.#findReason(record)
-    if (reason !== undefined && this.#mayLetOut()) this.#letOut(upstreamId, record, reason)
+    if (reason !== undefined && this.#canEject()) this.#eject(upstreamId, record, reason)
   }
 
   /** How long an answer of this upstream takes, in milliseconds; undefined where nothing tells. */
@@ -65,8 +65,8 @@
     for (const timer of this.#timers) timer.cancel()
   }
 
-  #letOut(upstreamId: string, record: UpstreamRecord, reason: string): void {
-    const outMs = record.letOut()
+  #eject(upstreamId: string, record: UpstreamRecord, reason: string): void {
+    const outMs = record.eject()
     this.#opts.logger.warn({ event: 'upstream.let-out', upstreamId, outMs, reason })
     const timer = this.#opts.clock.setTimer(outMs, () => {
       this.#timers.delete(timer)
@@ -77,7 +77,7 @@
   }
 
   #findReason(record: UpstreamRecord): string | undefined {
-    if (record.failsMost) return 'most of its recent requests failed'
+    if (record.hasHighFailureRate) return 'most of its recent requests failed'
     const ownMs = record.meanMs
     const othersMs = this.#medianOfOthers(record)
     if (ownMs === undefined || othersMs === undefined) return undefined
@@ -91,10 +91,10 @@
     return means[Math.floor(means.length / 2)]
   }
 
-  #mayLetOut(): boolean {
+  #canEject(): boolean {
     const records = [...this.#records.values()]
-    const out = records.filter((record) => record.isOut).length
-    return out + 1 <= records.length * outShareMax
+    const out = records.filter((record) => record.isEjected).length
+    return out + 1 <= records.length * ejectedShareMax
   }
 
   #recordOf(upstreamId: string): UpstreamRecord {
@@ -108,7 +108,7 @@
 
   #forgetOldest(): void {
     for (const [upstreamId, record] of this.#records) {
-      if (record.inFlight > 0 || record.isOut) continue
+      if (record.inFlight > 0 || record.isEjected) continue
       this.#records.delete(upstreamId)
       return
     }
--- a/entry/requests/test/upstreamRecords.test.ts
+++ b/entry/requests/test/upstreamRecords.test.ts
@@ -24,27 +24,27 @@
 test('an upstream that fails what it gets is let out, tried with one request, and brought back by doubling', async (t) => {
   const { clock, records, run } = start()
   for (let failed = 0; failed < 5; failed++) run('u1', 'failed')
-  t.false(records.mayTake('u1'))
+  t.false(records.canTakeRequest('u1'))
   await clock.advance(999)
-  t.false(records.mayTake('u1'))
+  t.false(records.canTakeRequest('u1'))
   await clock.advance(1)
   t.is(records.changes.value, 1)
   for (const allowed of [1, 2, 4]) {
     for (let begun = 0; begun < allowed; begun++) {
-      t.true(records.mayTake('u1'))
+      t.true(records.canTakeRequest('u1'))
       records.noteStart('u1')
     }
-    t.false(records.mayTake('u1'))
+    t.false(records.canTakeRequest('u1'))
     for (let ended = 0; ended < allowed; ended++) {
       records.noteEnd('u1', { result: ended === 0 ? 'answered' : 'refused', tookMs: 10 })
     }
   }
   run('u1', 'failed')
-  t.false(records.mayTake('u1'))
+  t.false(records.canTakeRequest('u1'))
   await clock.advance(1999)
-  t.false(records.mayTake('u1'), 'a relapse is out for twice as long')
+  t.false(records.canTakeRequest('u1'), 'a relapse is out for twice as long')
   await clock.advance(1)
-  t.true(records.mayTake('u1'))
+  t.true(records.canTakeRequest('u1'))
 })
 
 test('an upstream that slows everything is let out; one that only refuses is not', (t) => {
@@ -54,9 +54,9 @@
     run('u3', 'answered', 20)
     run('u1', 'refused')
   }
-  t.true(records.mayTake('u1'))
+  t.true(records.canTakeRequest('u1'))
   for (let round = 0; round < 30; round++) run('u1', 'answered', 400)
-  t.false(records.mayTake('u1'))
+  t.false(records.canTakeRequest('u1'))
 })
 
 test('at most half of the upstreams are out, whatever fails', (t) => {
@@ -68,7 +68,7 @@
       for (const [index, result] of steps) {
         run(`u${index}`, result)
         seen.add(`u${index}`)
-        const out = [...seen].filter((upstreamId) => !records.mayTake(upstreamId)).length
+        const out = [...seen].filter((upstreamId) => !records.canTakeRequest(upstreamId)).length
         t.true(out <= seen.size / 2)
       }
     }),
@@ -102,7 +102,7 @@
     })
   }
   for (let round = 0; round < 40; round++) await lose(250)
-  t.true(records.mayTake('u1'))
+  t.true(records.canTakeRequest('u1'))
   for (let round = 0; round < 40; round++) await lose(5000)
-  t.false(records.mayTake('u1'))
+  t.false(records.canTakeRequest('u1'))
 })
