--- a/entry/requests/src/drainRate.ts
+++ b/entry/requests/src/drainRate.ts
@@ -1,12 +1,13 @@
 /**
- * How fast one workspace's queue is served here, from the time between grants. It tells a refused caller
- * when to come back, and a new one whether its turn can come before its deadline.
+ * Estimates how fast this entry drains one workspace's queue, from a moving average of the time between
+ * grants. The queue uses it for the `retryAfterMs` of refusals and to predict whether a new request can be
+ * served before its deadline.
  */
 import type { Clock } from '@nettlespur/core.clock'
 
 /** Weight of the newest interval in the moving average. */
 const newestShare = 0.1
-/** Grants before the average says anything. */
+/** Number of grants below which the average is not used. */
 const grantsNeeded = 8
 
 const shortestRetryMs = 20
@@ -24,7 +25,7 @@
     this.#lastGrantMs = clock.monotonicMs()
   }
 
-  /** Time without anybody waiting is no sign of slow service. */
+  /** Restarts the interval when the queue stops being empty, so that idle time does not count as slow service. */
   noteBacklogBegins(): void {
     this.#lastGrantMs = this.#clock.monotonicMs()
   }
@@ -38,14 +39,14 @@
     this.#intervalMs += (intervalMs - this.#intervalMs) * share
   }
 
-  /** How long until `count` more are served, in milliseconds; undefined where too little was seen. */
+  /** Estimates the time until `count` more requests are granted. Returns undefined if there were too few grants. */
   expectedWaitMs(count: number): number | undefined {
     if (this.#grants < grantsNeeded) return undefined
     const sinceLastMs = this.#clock.monotonicMs() - this.#lastGrantMs
     return count * Math.max(this.#intervalMs, sinceLastMs / grantsNeeded)
   }
 
-  /** When a caller refused at a queue of `queued` finds it half empty, in milliseconds. */
+  /** Estimates when a queue of `queued` requests will have drained by half: when a refused caller should retry. */
   retryAfterMs(queued: number): number {
     const waitMs = this.expectedWaitMs(Math.max(1, queued / 2))
     if (waitMs === undefined) return unknownRetryMs
--- a/entry/requests/src/equalShareQuotas.ts
+++ b/entry/requests/src/equalShareQuotas.ts
@@ -1,8 +1,9 @@
 /**
- * Splits each limit equally between the live entries, so that the shares never sum to more than the
- * contract. What does not divide goes to other entries for each workspace (rendezvous hashing), so that no
- * entry holds all the small ones. Only the burst is at least 1 at each entry. A limit below the number of
- * entries leaves some without a share: they refuse at once and say that another entry has it.
+ * Splits each limit of a contract equally between the live entries, so that the shares never sum to more
+ * than the limit. The exception is the burst, which is at least 1 at each entry. The remainder of a division
+ * goes to entries that rendezvous hashing selects per workspace, so that no entry gets the remainders of all
+ * workspaces. If a limit is below the number of entries, some entries have no share: they refuse requests at
+ * once and tell the caller that another entry has the share.
  */
 import { createHash } from 'node:crypto'
 import type { ClusterView } from '@nettlespur/entry.view'
@@ -16,7 +17,7 @@
 export class EqualShareQuotas extends WorkspaceQuotas {
   readonly #view: ClusterView
   readonly #entryId: string
-  /** The standings below are of these entries. */
+  /** The entries for which `#standings` was computed. */
   #entries: readonly unknown[] = []
   readonly #standings = new Map<string, EntryRank>()
 
@@ -39,7 +40,7 @@
     }
   }
 
-  /** How many entries live, and this one's place among them for the workspace. */
+  /** Returns the number of live entries and the rank of this one among them for the workspace. */
   #standing(workspace: string): EntryRank {
     const entries = this.#view.entries.value
     if (entries !== this.#entries) {
--- a/entry/requests/src/equalShareSlots.ts
+++ b/entry/requests/src/equalShareSlots.ts
@@ -1,6 +1,7 @@
 /**
- * Slots shared equally between the live entries, rounded up. Rounding up may promise an upstream's last
- * slot twice; the upstream then refuses one of the two, which is tried elsewhere.
+ * Shares the slots of each upstream equally between the live entries, rounded up. Because of the rounding,
+ * two entries may use an upstream's last slot at the same time; the upstream then refuses one of the two
+ * requests, which is retried on another upstream.
  */
 import type { ClusterView } from '@nettlespur/entry.view'
 import { SlotSource } from './slotSource.js'
--- a/entry/requests/src/httpTaskTransport.ts
+++ b/entry/requests/src/httpTaskTransport.ts
@@ -1,8 +1,9 @@
 /**
- * Carries attempts over HTTP on kept connections. An answer that does not come within the proven time of a
- * connection is asked for on a new one, and again at growing intervals; where the upstream has ended the
- * task, or never saw it, the old connection was silent: it is cut and its pool distrusted. An answer that
- * was cut is asked for in the same way before the attempt counts as lost.
+ * Sends attempts over HTTP on keep-alive connections. If no answer arrives within `connectionProvenMs`, or
+ * half of the timeout if that is shorter, the transport polls the task's state on new connections, at growing
+ * intervals. If the upstream has ended the task, or never received it, the first connection was silent: it is
+ * cut, and the other connections of its pool are retired. If an answer is cut short, the state is polled too
+ * before the attempt counts as lost.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import type { NettlespurError } from '@nettlespur/core.errors'
@@ -16,24 +17,24 @@
 import { TaskTransport, type TaskOutcome, type TaskRun } from './taskTransport.js'
 import { UpstreamPools } from './upstreamPools.js'
 
-/** Made once: a reason made for each request would cost a stack trace. */
+/** Shared, as creating an error for each request would capture a stack trace each time. */
 const settledReason = new Error('the first connection answered or failed')
 const longestPollIntervalMs = 15_000
 const pollIntervalGrowth = 2
-/** Between two looks at a task whose connection was cut while it ran. */
+/** Interval between polls of a task whose connection was cut while it ran. */
 const followUpIntervalMs = 100
 
 export interface HttpTaskTransportOptions {
   clock: Clock
-  /** Sent to upstreams; undefined where they need none. */
+  /** Bearer key sent to upstreams; undefined if they need none. */
   upstreamKey?: string | undefined
-  /** Most open connections to one upstream, read again for each request. */
+  /** Maximum open connections to one upstream; a function is called for each request. */
   connectionsPerUpstream: number | (() => number)
   connectionProvenMs: number
   answerBytesMax: number
 }
 
-/** Ended without an answer. */
+/** States of a task that ended without an answer. */
 const endedStates: ReadonlySet<TaskState> = new Set(['failed', 'stopped', 'lease-expired'])
 
 type Opened = Either<NettlespurError, StreamedAnswer>
@@ -95,7 +96,7 @@
     }).run()
   }
 
-  /** Undefined as soon as the first connection answers or fails. */
+  /** Polls the task's state until it is final. Returns undefined once the first connection answers or fails. */
   async #pollWhileSilent(
     task: TaskRun,
     opened: Promise<Opened>,
@@ -114,7 +115,7 @@
       const found = await this.#interpretState(task, state, inquiry)
       if (isSettled()) return undefined
       if (found !== undefined) return found
-      // A repeatable request is served sooner elsewhere.
+      // Retrying a repeatable request on another upstream is faster than waiting.
       if (state === undefined && task.repeatable) return createLostOutcome('the upstream is silent')
       waitMs = Math.min(longestPollIntervalMs, waitMs * pollIntervalGrowth)
     }
@@ -134,20 +135,20 @@
     return outcome
   }
 
-  /** Asks after a task whose connection was cut, for as long as its upstream says that it runs. */
+  /** Polls a task whose connection was cut, for as long as its upstream reports it as running. */
   async #followUp(task: TaskRun, lost: TaskOutcome, inquiry: TaskInquiry): Promise<TaskOutcome> {
     while (!task.givenUp.aborted && !inquiry.isPastDeadline) {
       const state = await inquiry.askState()
       const found = await this.#interpretState(task, state, inquiry)
       if (found !== undefined) return found
-      // A repeatable request is served sooner elsewhere.
+      // Retrying a repeatable request on another upstream is faster than waiting.
       if (state !== 'running' || task.repeatable) return lost
       await this.#opts.clock.sleep(followUpIntervalMs, task.givenUp)
     }
     return lost
   }
 
-  /** What the state means for the attempt; undefined where it says nothing final. */
+  /** Returns the outcome of the attempt that follows from the state, or undefined if the state is not final. */
   async #interpretState(
     task: TaskRun,
     state: TaskState | undefined,
--- a/entry/requests/src/index.ts
+++ b/entry/requests/src/index.ts
@@ -1,4 +1,4 @@
-/** Short requests: limits, queues, choice of an upstream and honest outcomes. */
+/** Routing of short requests: limits, queues, choice of an upstream, and outcomes that state whether a request ran. */
 export { EqualShareQuotas, type EqualShareQuotasOptions } from './equalShareQuotas.js'
 export { EqualShareSlots } from './equalShareSlots.js'
 export { HttpTaskTransport, type HttpTaskTransportOptions } from './httpTaskTransport.js'
--- a/entry/requests/src/localRequestRouter.ts
+++ b/entry/requests/src/localRequestRouter.ts
@@ -1,6 +1,6 @@
 /**
- * Routes short requests from this entry to upstreams by itself. What may have run is told as such: an
- * attempt whose answer was lost is repeated only where the request is repeatable.
+ * Routes short requests from this entry to upstreams without asking another process. An attempt whose answer
+ * was lost may have run: it is retried only if the request is repeatable, else reported as `outcome-unknown`.
  */
 import { randomUUID } from 'node:crypto'
 import type { Readable } from 'node:stream'
@@ -32,13 +32,13 @@
   transport: TaskTransport
 }
 
-/** What is known of a request between its attempts. */
+/** State of a request across its attempts. */
 interface Progress {
   readonly request: ShortRequest
   readonly taskId: string
   readonly tried: Set<string>
   attempt: number
-  /** Set once an attempt may have run. */
+  /** Error of the last attempt that may have run; undefined if there was none. */
   lost: NettlespurError | undefined
 }
 
@@ -166,7 +166,7 @@
     })
   }
 
-  /** Throws the final answer where the request may not be tried again. */
+  /** Throws the final error if the request may not be retried. */
   #checkRetry(progress: Progress, outcome: FailedOutcome): void {
     const { request } = progress
     if (progress.lost !== undefined && !request.repeatable)
@@ -178,7 +178,7 @@
     }
   }
 
-  /** Only attempts that may have run are charged: the others cost an upstream nothing. */
+  /** Takes a token of the retry budget, for attempts that may have run: the others cost an upstream nothing. */
   #takeRetry(workspace: string): boolean {
     const perSecond = this.#quotaOf(workspace).retriesPerSecond
     const rate = { perSecond, burst: Math.max(1, perSecond) }
--- a/entry/requests/src/mostFreePicker.ts
+++ b/entry/requests/src/mostFreePicker.ts
@@ -1,4 +1,4 @@
-/** Picks the upstream with most free slots; among equals the one used longest ago. */
+/** Picks the upstream with the most free slots; among equals, the least recently picked one. */
 import { UpstreamPicker, type PickedUpstream, type SlotCandidate } from './upstreamPicker.js'
 
 export class MostFreePicker extends UpstreamPicker {
--- a/entry/requests/src/queueErrors.ts
+++ b/entry/requests/src/queueErrors.ts
@@ -1,4 +1,4 @@
-/** The answers of a queue to what it does not serve. None of it has run. */
+/** Errors for requests that the queue refuses. None of these requests has run. */
 import { NettlespurError } from '@nettlespur/core.errors'
 
 export function createDeadlineError(retryAfterMs: number): NettlespurError {
--- a/entry/requests/src/rateLimiter.ts
+++ b/entry/requests/src/rateLimiter.ts
@@ -1,4 +1,4 @@
-/** One token bucket for each workspace that was active lately. */
+/** Limits the rate of each workspace, with a token bucket for each recently active one. */
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
 import { TokenBucket, type TokenBucketRate } from './tokenBucket.js'
@@ -13,7 +13,7 @@
     this.#clock = clock
   }
 
-  /** Undefined where the workspace is within its rate; otherwise `over-limit` with when to come back. */
+  /** Takes a token. Returns undefined if there was one, otherwise an `over-limit` error with `retryAfterMs`. */
   acquire(workspace: string, rate: TokenBucketRate): NettlespurError | undefined {
     const outcome = this.#bucketOf(workspace, rate).take(rate)
     if (outcome.taken) return undefined
--- a/entry/requests/src/readAnswer.ts
+++ b/entry/requests/src/readAnswer.ts
@@ -1,7 +1,7 @@
 /**
- * Reads an upstream's answer to one attempt. It must be of this task, and state its length. A small one is
- * collected whole before anything of it goes on; a large one is handed on as it comes, so that memory stays
- * bounded, and its stream fails where it ends early.
+ * Reads an upstream's answer to one attempt. The answer must belong to this task and state its length. A small
+ * answer is collected whole before any of it is passed on. A large one is passed on as a stream, so that
+ * memory stays bounded; the stream fails if it ends early.
  */
 import { taskHeaders } from '@nettlespur/api.schemas'
 import { toNettlespurError, type ErrorKind } from '@nettlespur/core.errors'
@@ -9,11 +9,11 @@
 import { createLostOutcome } from './lostOutcome.js'
 import type { TaskOutcome, TaskRun } from './taskTransport.js'
 
-/** Answers up to this size are collected before they go on. */
+/** Larger answers are streamed instead of collected. */
 const collectedBytesMax = 262_144
 const errorBytesMax = 65_536
 
-/** What an upstream answers only before it runs anything. */
+/** Kinds of errors that an upstream returns only before it runs anything. */
 const refusals: ReadonlySet<ErrorKind> = new Set([
   'upstream-refused',
   'fence-too-low',
@@ -23,17 +23,18 @@
 
 export interface ReadAnswerOptions {
   answerBytesMax: number
-  /** Headers that the answer must repeat, and what it is then said to be of. */
+  /** Headers that the answer must repeat. */
   expected: readonly ExpectedHeader[]
 }
 
 export interface ExpectedHeader {
   readonly name: string
   readonly value: string
+  /** Name of the value in the message about a mismatch. */
   readonly what: string
 }
 
-/** The headers by which the answer to `POST …/run` is matched. */
+/** Returns the headers that the answer to `POST …/run` must repeat. */
 export function expectAttempt(task: TaskRun): ExpectedHeader[] {
   return [
     { name: taskHeaders.taskId, value: task.taskId, what: 'task' },
@@ -41,7 +42,7 @@
   ]
 }
 
-/** The headers by which an answer collected later is matched. */
+/** Returns the headers that an answer collected later must repeat. */
 export function expectFence(task: TaskRun): ExpectedHeader[] {
   return [
     { name: taskHeaders.taskId, value: task.taskId, what: 'task' },
@@ -78,7 +79,7 @@
   return refusals.has(error.kind) ? { kind: 'refused', error } : createLostOutcome(fault, error)
 }
 
-/** Why the answer is not the whole one of this attempt; undefined where it may be. */
+/** Returns why the answer cannot be the whole answer to this attempt, or undefined if it can. */
 function findFault(opened: StreamedAnswer, opts: ReadAnswerOptions): string | undefined {
   const { headers } = opened
   const wrong = opts.expected.find(({ name, value }) => headers[name] !== value)
@@ -91,7 +92,7 @@
   return undefined
 }
 
-/** The whole body, or why it is not whole. */
+/** Reads the whole body. Returns an error if the body is too large or cut short. */
 async function collect(opened: StreamedAnswer, bytesMax: number): Promise<Buffer | Error> {
   const chunks: Buffer[] = []
   let size = 0
--- a/entry/requests/src/recordedTransport.ts
+++ b/entry/requests/src/recordedTransport.ts
@@ -1,9 +1,9 @@
-/** Notes each attempt's outcome in the record of its upstream. */
+/** Adds the outcome of each attempt to the record of its upstream. */
 import type { Clock } from '@nettlespur/core.clock'
 import { TaskTransport, type TaskOutcome, type TaskRun } from './taskTransport.js'
 import type { AttemptResult, UpstreamRecords } from './upstreamRecords.js'
 
-/** Below this many times the typical duration, an attempt had too little time. */
+/** A lost attempt is not held against its upstream if its timeout was below this multiple of the typical duration. */
 const shortTimeoutFactor = 1.5
 
 export interface RecordedTransportOptions {
@@ -33,7 +33,7 @@
       records.noteEnd(task.upstreamId, { result, tookMs: clock.monotonicMs() - startedMs })
     }
   }
-  /** An attempt given up here, or given too little time, says as little of its upstream as a refusal. */
+  /** Counts an attempt that was given up here, or whose timeout was too short, as refused: it is no evidence. */
   #readResult(task: TaskRun, outcome: TaskOutcome): AttemptResult {
     if (outcome.kind === 'answered' || outcome.kind === 'refused') return outcome.kind
     const typicalMs = this.#opts.records.typicalMs(task.upstreamId) ?? 0
--- a/entry/requests/src/requestQueue.ts
+++ b/entry/requests/src/requestQueue.ts
@@ -1,8 +1,8 @@
 /**
- * Requests that wait for a place among their workspace's concurrent ones and for a slot on an upstream.
- * The next slot goes to the workspace that has had least slot time for its weight (start-time fair
- * queueing), so that a flooding one takes nothing from another's share; within a workspace, first come,
- * first served. Whoever gives up, or cannot be served before its deadline, is told at once.
+ * Queues requests until their workspace is below its limit of concurrent requests and an upstream has a free
+ * slot. The next slot goes to the workspace with the least slot time for its weight (start-time fair queueing),
+ * so that a flooding workspace takes nothing from another's share; within a workspace the order is first come,
+ * first served. A request that is cancelled, or cannot be served before its deadline, is refused at once.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import { NettlespurError } from '@nettlespur/core.errors'
@@ -25,7 +25,7 @@
   slots: SlotSource
   quotas: WorkspaceQuotas
   picker: UpstreamPicker
-  /** Emits when the picker may choose what it passed over before. */
+  /** Emits when the picker may pick upstreams that it excluded before. */
   pickerChanges?: Observable<unknown>
 }
 
@@ -35,7 +35,7 @@
   readonly #opts: RequestQueueOptions
   readonly #lines = new Map<string, WorkspaceLine>()
   readonly #changes: Subscription
-  /** Virtual time of the workspace served last: where one that comes back from idleness begins. */
+  /** Highest virtual time served so far. A workspace that was idle starts from it. */
   #virtualMs = 0
   #shutDown: NettlespurError | undefined
 
@@ -48,7 +48,7 @@
     })
   }
 
-  /** Requests waiting now. */
+  /** Number of requests waiting now. */
   get waiting(): number {
     let sum = 0
     for (const line of this.#lines.values()) sum += line.fresh.size + line.again.size
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Waits for a place and the first slot. The place is held until `leave`. Errors: `no-upstream`,
+   * Waits for the first slot. The request then counts as concurrent until `leave`. Errors: `no-upstream`,
    * `queue-full`, `deadline-before-start`, `cancelled-before-start`, `contract-lease-expired`.
    */
   enter(request: ShortRequest): EitherAsync<NettlespurError, SlotGrant> {
@@ -67,7 +67,7 @@
     })
   }
 
-  /** Waits for a slot of another upstream, ahead of those not started yet. Errors: those of `enter`. */
+  /** Waits for a slot for a retry, ahead of requests without an attempt yet. Errors: those of `enter`. */
   enterAgain(
     request: ShortRequest,
     avoid: ReadonlySet<string>,
@@ -91,7 +91,7 @@
     this.#serveLines()
   }
 
-  /** Answers everyone who waits, and whoever comes later, with `error`. */
+  /** Refuses all waiting and all later requests with `error`. */
   shutDown(error: NettlespurError): void {
     this.#shutDown = error
     this.#refuseAll(error)
@@ -143,7 +143,7 @@
     return new NettlespurError('no-upstream', 'no upstream is ready to run it', { retryAfterMs })
   }
 
-  /** Refuses what has no share here, and what would only wait for its deadline. */
+  /** Refuses a request whose workspace has no share here, or that is not expected to end by its deadline. */
   #refuseFresh(request: ShortRequest): NettlespurError | undefined {
     const placesMax = this.#opts.quotas.quotaOf(request.workspace)?.concurrentRequests ?? 0
     if (placesMax === 0) return createNoShareError(retryAfterMs)
@@ -160,7 +160,7 @@
     })
   }
 
-  /** Refuses a new waiter that found no slot and a full queue. */
+  /** Refuses a new waiter that got no slot at once and exceeds the limit of queued requests. */
   #boundLine(line: WorkspaceLine, waiter: Waiter): void {
     if (!line.fresh.has(waiter)) return
     const queuedMax = this.#opts.quotas.quotaOf(line.workspace)?.queuedRequests ?? 0
@@ -170,7 +170,7 @@
     waiter.settle(Left(new NettlespurError('queue-full', message, retry)))
   }
 
-  /** Gives slots to waiters until nothing more can be given. */
+  /** Grants slots to waiters, retries first, until no more can be granted. */
   #serveLines(): void {
     const lapsed = this.#opts.view.lease.getRefusal()
     if (lapsed !== undefined) {
@@ -189,7 +189,7 @@
     }
   }
 
-  /** The workspace that has had least for its weight, of those that wait and are within their limit. */
+  /** Returns the workspace with the lowest virtual time that has waiters and is below its concurrency limit. */
   #nextLine(): WorkspaceLine | undefined {
     let next: WorkspaceLine | undefined
     for (const line of this.#lines.values()) {
@@ -213,7 +213,7 @@
     return true
   }
 
-  /** A slot spent on what cannot end in time is lost to the others. */
+  /** Refuses the first waiters that can no longer end in time: a slot spent on them would be wasted. */
   #dropTooLate(line: WorkspaceLine): void {
     for (const waiter of [...line.fresh]) {
       if (!line.isTooLate(waiter)) return
--- a/entry/requests/src/requestRouter.ts
+++ b/entry/requests/src/requestRouter.ts
@@ -5,15 +5,15 @@
 
 export abstract class RequestRouter {
   /**
-   * Errors that mean it did not run: `contract-lease-expired`, `unknown-workspace`, `over-limit`,
+   * Runs the request. Errors that mean it did not run: `contract-lease-expired`, `unknown-workspace`, `over-limit`,
    * `queue-full`, `deadline-before-start`, `cancelled-before-start`, `no-upstream`, `upstream-refused`.
    * `outcome-unknown`: it may have run.
    */
   abstract run(request: ShortRequest): EitherAsync<NettlespurError, ShortAnswer>
 
   /**
-   * Ends every request at once with its honest answer: one that waits did not run, one that was sent may
-   * have. For the end of a planned stop that took too long.
+   * Ends every request at once: a waiting one with an error that says it did not run, one that was sent with
+   * an error that says it may have run. For a planned stop whose drain took too long.
    */
   abstract abandonAll(): void
 }
--- a/entry/requests/src/runAfterAnswer.ts
+++ b/entry/requests/src/runAfterAnswer.ts
@@ -1,4 +1,4 @@
-/** Runs a clean-up when an answer is there, and where it is a stream, when that has ended or was cut. */
+/** Runs a clean-up once the answer has arrived or failed; if its body is a stream, once that has ended or was cut. */
 import { Readable, finished } from 'node:stream'
 
 export function runAfterAnswer<T>(
--- a/entry/requests/src/shortRequest.ts
+++ b/entry/requests/src/shortRequest.ts
@@ -1,9 +1,9 @@
 import type { UpstreamView } from '@nettlespur/api.schemas'
 import type { TaskAnswer } from './taskTransport.js'
 
-/** What must be committed before an attempt of a request leaves this entry. */
+/** A claim that must be committed before each attempt of a request is sent. */
 export abstract class DispatchClaim {
-  /** Resolves with the fence to send the attempt under. Rejects where it must not be sent. */
+  /** Resolves to the fencing token for the attempt. Rejects if the attempt must not be sent. */
   abstract commit(target: {
     upstream: UpstreamView
     taskId: string
@@ -11,12 +11,12 @@
   }): Promise<number>
 }
 
-/** One short request as the router takes it, and the answer it gives. */
+/** One short request as the router receives it. */
 export interface ShortRequest {
   readonly workspace: string
-  /** The caller's key for this request; undefined where it gave none. */
+  /** The caller's idempotency key; undefined if it gave none. */
   readonly key: string | undefined
-  /** False: the request is run at most once. */
+  /** If false, the request runs at most once. */
   readonly repeatable: boolean
   /** When the caller stops waiting, on the clock's monotonic scale. */
   readonly deadlineAtMs: number
@@ -24,11 +24,11 @@
   readonly body: Buffer
   /** Aborted when the caller goes away. */
   readonly callerGone: AbortSignal
-  /** Given for each request that must not run twice. */
+  /** Set if the request must not run twice. */
   readonly claim?: DispatchClaim | undefined
 }
 
-/** The upstream's own answer. A large one is a stream, which fails where it ends early. */
+/** The upstream's answer. A large one is a stream, which fails if it ends early. */
 export interface ShortAnswer extends TaskAnswer {
   readonly taskId: string
   readonly attempt: number
--- a/entry/requests/src/slotSource.ts
+++ b/entry/requests/src/slotSource.ts
@@ -1,12 +1,12 @@
-/** Which slots of which upstreams this entry may fill. */
+/** Tracks which slots of which upstreams this entry may use. */
 import type { SlotCandidate } from './upstreamPicker.js'
 
 export abstract class SlotSource {
-  /** Upstreams that may be given work at all, free or not. */
+  /** Counts the upstreams that may be given work, with a free slot or without. */
   abstract countUsable(avoid: ReadonlySet<string>): number
-  /** Upstreams with a free slot, other than those to avoid. */
+  /** Lists the upstreams with a free slot, except those to avoid. */
   abstract listFree(avoid: ReadonlySet<string>): readonly SlotCandidate[]
-  /** Takes one slot and gives the fence to use it under. */
+  /** Takes one slot and returns the fencing token for its use. */
   abstract take(upstreamId: string): number
   abstract release(upstreamId: string): void
 }
--- a/entry/requests/src/taskInquiry.ts
+++ b/entry/requests/src/taskInquiry.ts
@@ -1,6 +1,6 @@
 /**
- * Asks an upstream, each time on a new connection, how a task stands whose answer did not come, and collects
- * the answer where there is one.
+ * Queries an upstream for the state of a task whose answer did not arrive, each time on a new connection, and
+ * collects the answer if there is one.
  */
 import http from 'node:http'
 import { taskStatusSchema, type TaskState } from '@nettlespur/api.schemas'
@@ -9,10 +9,9 @@
 import { expectFence, readAnswer } from './readAnswer.js'
 import type { TaskOutcome, TaskRun } from './taskTransport.js'
 
-/** A question that gets no answer in this time has failed. */
 const inquiryTimeoutMs = 1000
 const statusBytesMax = 65_536
-/** Node's own default agent would keep connections and use them again. */
+/** Node's default agent would reuse connections. */
 const newConnections = new http.Agent({ keepAlive: false })
 
 export interface TaskInquiryOptions {
@@ -20,9 +19,9 @@
   headers: Readonly<Record<string, string>>
   answerBytesMax: number
   task: TaskRun
-  /** A task that the upstream had answered before this one was sent. */
+  /** A task that the upstream answered before this one was sent; undefined if there is none. */
   witnessTaskId: string | undefined
-  /** When nobody waits for the answer any more, on the clock's monotonic scale. */
+  /** When the caller stops waiting, on the clock's monotonic scale. */
   deadlineAtMs: number
 }
 
@@ -37,12 +36,12 @@
     return this.#opts.clock.monotonicMs() >= this.#opts.deadlineAtMs
   }
 
-  /** Undefined where the upstream did not say. */
+  /** Resolves to undefined if the upstream did not report a state. */
   askState(): Promise<TaskState | undefined> {
     return this.#ask('GET', '')
   }
 
-  /** False where the upstream may have restarted since, and so have run what it no longer knows. */
+  /** Resolves to false if the upstream may have restarted, and so may have run a task that it no longer knows. */
   async hasKeptTasks(): Promise<boolean> {
     const { witnessTaskId } = this.#opts
     if (witnessTaskId === undefined) return false
@@ -51,8 +50,8 @@
   }
 
   /**
-   * Makes sure that a task which its upstream has never seen will not run: the call may still be under
-   * way on the old connection. One that started meanwhile is stopped.
+   * Forbids the upstream to run a task that it has not received: the call may still be in transit on the old
+   * connection. Stops the task if it has started meanwhile.
    */
   forbidStart(): Promise<TaskState | undefined> {
     const { taskId, fence } = this.#opts.task
--- a/entry/requests/src/taskTransport.ts
+++ b/entry/requests/src/taskTransport.ts
@@ -1,8 +1,8 @@
-/** Carries one attempt of a short request to its upstream. */
+/** Sends one attempt of a short request to its upstream. */
 import type { Readable } from 'node:stream'
 import type { NettlespurError } from '@nettlespur/core.errors'
 
-/** One attempt under its fence. */
+/** One attempt and its fencing token. */
 export interface TaskRun {
   readonly upstreamId: string
   readonly address: string
@@ -15,13 +15,13 @@
   readonly contentType: string | undefined
   readonly body: Buffer
   readonly timeoutMs: number
-  /** Aborted when the answer is not waited for any more. */
+  /** Aborted when the entry no longer waits for the answer. */
   readonly givenUp: AbortSignal
 }
 
 /**
- * The answer of the attempt asked for: whole as a buffer, or a stream of `lengthBytes` that fails where it
- * ends early. A stream must be read or destroyed.
+ * The answer to an attempt. The body is a buffer, or a stream of `lengthBytes` that fails if it ends early. A
+ * stream must be read or destroyed.
  */
 export interface TaskAnswer {
   readonly status: number
@@ -31,8 +31,8 @@
 }
 
 /**
- * `not-sent`: no byte left. `refused`: the upstream says that it did not and will not run. `lost`: it may
- * have run, and its answer is not here whole.
+ * `not-sent`: no byte was sent. `refused`: the upstream says that the attempt did not and will not run.
+ * `lost`: the attempt may have run, and its whole answer did not arrive.
  */
 export type TaskOutcome =
   | { readonly kind: 'answered'; readonly answer: TaskAnswer }
--- a/entry/requests/src/tokenBucket.ts
+++ b/entry/requests/src/tokenBucket.ts
@@ -1,11 +1,11 @@
-/** A token bucket on the injected clock, starting full. */
+/** A token bucket that starts full and refills by the injected clock. */
 import type { Clock } from '@nettlespur/core.clock'
 
 const millisecondsPerSecond = 1000
 
 export interface TokenBucketRate {
   readonly perSecond: number
-  /** Most tokens held at once. */
+  /** Maximum number of tokens held. */
   readonly burst: number
 }
 
@@ -22,7 +22,7 @@
     this.#filledAtMs = clock.monotonicMs()
   }
 
-  /** Takes one token if there is one; otherwise says in how many milliseconds there will be. */
+  /** Takes one token if there is one; otherwise returns the time until there is one. */
   take(rate: TokenBucketRate): { taken: true } | { taken: false; retryAfterMs: number } {
     this.#refill(rate)
     if (this.#tokens >= 1) {
@@ -33,7 +33,7 @@
     return { taken: false, retryAfterMs: waitForTokens(missing, rate.perSecond) }
   }
 
-  /** Whether it holds nothing to remember: as full as a new one. */
+  /** A full bucket equals a new one, so it can be discarded. */
   isFull(): boolean {
     this.#refill(this.#rate)
     return this.#tokens >= this.#rate.burst
--- a/entry/requests/src/trustedPicker.ts
+++ b/entry/requests/src/trustedPicker.ts
@@ -1,4 +1,4 @@
-/** Picks among the upstreams whose record entitles them to work. */
+/** Picks among the upstreams that are not ejected and, while on trial, have trial capacity left. */
 import type { UpstreamRecords } from './upstreamRecords.js'
 import { UpstreamPicker, type PickedUpstream, type SlotCandidate } from './upstreamPicker.js'
 
--- a/entry/requests/src/upstreamPicker.ts
+++ b/entry/requests/src/upstreamPicker.ts
@@ -1,4 +1,4 @@
-/** Which of the upstreams with a free slot gets the next request. */
+/** Chooses the upstream for the next request from those with a free slot. */
 import type { UpstreamView } from '@nettlespur/api.schemas'
 
 /** A ready upstream with at least one slot free for this entry. */
@@ -9,11 +9,11 @@
 
 export interface PickedUpstream {
   readonly upstream: UpstreamView
-  /** Why this one, for the decision's log line. */
+  /** Why this upstream was picked, for the log line. */
   readonly reason: string
 }
 
 export abstract class UpstreamPicker {
-  /** Undefined where there is no candidate. */
+  /** Returns undefined if no candidate can be picked. */
   abstract pick(candidates: readonly SlotCandidate[]): PickedUpstream | undefined
 }
--- a/entry/requests/src/upstreamPool.ts
+++ b/entry/requests/src/upstreamPool.ts
@@ -1,7 +1,7 @@
 /**
- * The kept connections to one upstream. One that carried nothing for longer than `connectionProvenMs` is
- * closed rather than used again, also where the process itself was frozen for that time. When one is found
- * silent, all that were opened before are distrusted: none of them carries another request.
+ * The keep-alive connections to one upstream. A connection that was unused for longer than
+ * `connectionProvenMs` is closed instead of reused, even if the process itself was suspended for that time. If
+ * one connection is found to be silent, all open ones are retired: none of them carries another request.
  */
 import http from 'node:http'
 import type { Socket } from 'node:net'
@@ -10,12 +10,12 @@
 export interface UpstreamPoolOptions {
   clock: Clock
   connectionProvenMs: number
-  /** Most open connections, read again for each request. */
+  /** Maximum open connections; called for each request. */
   connectionsMax: () => number
 }
 
 export class UpstreamPool {
-  /** The task answered last: while the upstream knows it, it has not forgotten later ones. */
+  /** The task that the upstream answered last. While the upstream knows it, it has not forgotten later tasks. */
   lastAnsweredTaskId: string | undefined
   readonly #opts: UpstreamPoolOptions
   readonly #lastUsedAtMs = new WeakMap<Socket, number>()
@@ -26,7 +26,7 @@
     this.#agent = this.#createAgent()
   }
 
-  /** For one request, now. */
+  /** The agent for one request that is sent at once. Reading it closes stale connections. */
   get agent(): http.Agent {
     this.#agent.maxSockets = this.#opts.connectionsMax()
     this.#closeStale()
@@ -38,7 +38,7 @@
     return Object.keys(sockets).length === 0 && Object.keys(freeSockets).length === 0
   }
 
-  /** What runs on an old connection may end there; the connection is closed behind it. */
+  /** Stops the reuse of all open connections. Requests in flight may end on theirs, which are closed afterwards. */
   retireConnections(): void {
     const former = this.#agent
     this.#agent = this.#createAgent()
--- a/entry/requests/src/upstreamPools.ts
+++ b/entry/requests/src/upstreamPools.ts
@@ -1,4 +1,4 @@
-/** One pool of connections for each upstream address in use. */
+/** Connection pools by upstream address. */
 import { UpstreamPool, type UpstreamPoolOptions } from './upstreamPool.js'
 
 const poolsKeptMax = 128
--- a/entry/requests/src/upstreamRecord.ts
+++ b/entry/requests/src/upstreamRecord.ts
@@ -1,7 +1,7 @@
 /**
- * What this entry has seen of one upstream lately, and how much work that entitles it to. One that fails or
- * slows most of what it is given is let out; after a time that doubles with each relapse it gets one
- * request at a time, and twice as many with each success, until it is trusted again.
+ * Recent outcomes of one upstream as seen by this entry, and how much work it may get (outlier ejection). An
+ * upstream that fails most of its requests, or is slow, is ejected for a time that doubles with each relapse.
+ * It then is on trial: one request at a time, twice as many with each success, until it is trusted again.
  */
 import type { Clock } from '@nettlespur/core.clock'
 
@@ -11,7 +11,7 @@
 const newestShare = 0.1
 const shortestEjectionMs = 1000
 const longestEjectionMs = 60_000
-/** A trial that grew this far has ended. */
+/** The trial ends once its limit exceeds this. */
 const trialSlotsMax = 64
 
 export class UpstreamRecord {
@@ -22,7 +22,7 @@
   #answers = 0
   #ejectedUntilMs = Number.NEGATIVE_INFINITY
   #outMs = shortestEjectionMs
-  /** Requests at a time while on trial; undefined while trusted. */
+  /** Maximum concurrent requests while on trial; undefined while trusted. */
   #trialSlots: number | undefined
 
   constructor(clock: Clock) {
@@ -41,7 +41,7 @@
     return this.#trialSlots === undefined || this.inFlight < this.#trialSlots
   }
 
-  /** Mean time of its answers, in milliseconds; undefined where there are too few. */
+  /** Mean time to an answer; undefined if there were too few answers. */
   get meanMs(): number | undefined {
     return this.#answers < outcomesNeeded ? undefined : this.#meanMs
   }
@@ -68,7 +68,7 @@
     this.#note(false)
   }
 
-  /** Lets it out for a while; resolves nothing by itself. Returns for how long, in milliseconds. */
+  /** Ejects the upstream and starts its trial afterwards. Returns the duration of the ejection in milliseconds. */
   eject(): number {
     const outMs = this.#outMs
     this.#ejectedUntilMs = this.#clock.monotonicMs() + outMs
--- a/entry/requests/src/upstreamRecords.ts
+++ b/entry/requests/src/upstreamRecords.ts
@@ -1,20 +1,20 @@
 /**
- * Decides from recent outcomes which upstreams get work from this entry. At most half of those seen are out
- * at a time: where most fail, the cause is not theirs, and somebody has to do the work.
+ * Decides from recent outcomes which upstreams get work from this entry. At most half of the known upstreams
+ * are ejected at a time: if most fail, the cause lies elsewhere, and some upstream has to do the work.
  */
 import type { Clock, Timer } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
 import { BehaviorSubject } from 'rxjs'
 import { UpstreamRecord } from './upstreamRecord.js'
 
-/** An upstream is slow that takes this many times the median of the others. */
+/** An upstream is slow if its mean time is at least this multiple of the median of the others. */
 const slowFactor = 4
-/** Differences below this are not worth a decision. */
+/** Smaller differences from the median never count as slow. */
 const slowFloorMs = 50
 const ejectedShareMax = 0.5
 const recordsKeptMax = 1024
 
-/** How an attempt ended, as far as it tells of the upstream. */
+/** How an attempt ended, as evidence of the upstream's health. */
 export type AttemptResult = 'answered' | 'failed' | 'refused'
 
 export interface UpstreamRecordsOptions {
@@ -23,7 +23,7 @@
 }
 
 export class UpstreamRecords {
-  /** Raised when an upstream may get work again. */
+  /** Incremented when an ejection ends and the upstream may get work again. */
   readonly changes = new BehaviorSubject(0)
   readonly #opts: UpstreamRecordsOptions
   readonly #timers = new Set<Timer>()
@@ -33,7 +33,7 @@
     this.#opts = opts
   }
 
-  /** Whether it may be given one more request now. */
+  /** Whether the upstream may be given one more request now. */
   canTakeRequest(upstreamId: string): boolean {
     const record = this.#records.get(upstreamId)
     return record === undefined || (!record.isEjected && record.hasTrialCapacity)
@@ -43,11 +43,11 @@
     this.#recordOf(upstreamId).inFlight += 1
   }
 
-  /** A refusal says nothing of an upstream's health. */
+  /** Records the end of an attempt. A refusal says nothing about the upstream's health. */
   noteEnd(upstreamId: string, outcome: { result: AttemptResult; tookMs: number }): void {
     const record = this.#recordOf(upstreamId)
     record.inFlight -= 1
-    // What was under way when it was let out says nothing new.
+    // Requests that were in flight at the ejection are no new evidence.
     if (record.isEjected || outcome.result === 'refused') return
     if (outcome.result === 'answered') record.noteAnswer(outcome.tookMs)
     else record.noteFailure()
@@ -55,7 +55,7 @@
     if (reason !== undefined && this.#canEject()) this.#eject(upstreamId, record, reason)
   }
 
-  /** How long an answer of this upstream takes, in milliseconds; undefined where nothing tells. */
+  /** Returns the upstream's mean time to an answer, else the median of the others, else undefined. */
   typicalMs(upstreamId: string): number | undefined {
     const record = this.#recordOf(upstreamId)
     return record.meanMs ?? this.#medianOfOthers(record)
--- a/entry/requests/src/workspaceLine.ts
+++ b/entry/requests/src/workspaceLine.ts
@@ -1,6 +1,6 @@
 /**
- * Who of one workspace waits, who runs, and how much of the entry's slots it has had, as virtual time:
- * slot time used divided by the contract's weight.
+ * The queue of one workspace: its waiting requests, its number of concurrent ones, and its virtual time, which
+ * is the slot time it has used divided by the contract's weight.
  */
 import type { Clock } from '@nettlespur/core.clock'
 import type { NettlespurError } from '@nettlespur/core.errors'
@@ -10,7 +10,7 @@
 
 /** Weight of the newest request in the average of slot time. */
 const newestShare = 0.1
-/** Charged for a request before any has ended. */
+/** Slot time charged for a request as long as none has ended. */
 const firstChargeMs = 10
 
 /** A slot taken for one attempt. */
@@ -27,14 +27,14 @@
 
 export class WorkspaceLine {
   readonly workspace: string
-  /** Waiting for their first slot, in order of arrival. */
+  /** Requests waiting for their first slot, in order of arrival. */
   readonly fresh = new Set<Waiter>()
-  /** Waiting for the slot of a later attempt; they have their place already. */
+  /** Requests waiting for the slot of a retry; they count as concurrent already. */
   readonly again = new Set<Waiter>()
   readonly drainRate: DrainRate
-  /** Requests that have their place among the concurrent ones. */
+  /** Number of requests that count towards the workspace's limit of concurrent ones. */
   placed = 0
-  /** In milliseconds of one slot at weight 1. */
+  /** In milliseconds of slot time at weight 1. */
   virtualMs: number
   readonly #clock: Clock
   readonly #charges: Charge[] = []
@@ -48,7 +48,7 @@
     this.drainRate = new DrainRate(clock)
   }
 
-  /** How long one request holds its place, on average, in milliseconds; 0 where nothing was seen. */
+  /** Mean time from the first slot of a request to its end; 0 if none has ended. */
   get meanSlotMs(): number {
     return this.#ended === 0 ? 0 : this.#meanSlotMs
   }
@@ -57,7 +57,7 @@
     return this.placed === 0 && this.fresh.size === 0 && this.again.size === 0
   }
 
-  /** Whether one that had to wait can no longer end before its deadline, going by what others took. */
+  /** Whether a request that had to wait is expected, from the mean time, to end after its deadline. */
   isTooLate(waiter: Waiter): boolean {
     const nowMs = this.#clock.monotonicMs()
     return nowMs > waiter.sinceMs && nowMs + this.meanSlotMs > waiter.deadlineAtMs
@@ -68,7 +68,7 @@
     this.again.delete(waiter)
   }
 
-  /** Charges a request at its start what others took; `noteEnd` corrects it by what it did take. */
+  /** Charges the mean slot time in advance; `noteEnd` corrects the charge to the time that was used. */
   noteStart(weight: number): void {
     const chargedMs = this.#meanSlotMs / weight
     this.virtualMs += chargedMs
@@ -77,7 +77,7 @@
     this.drainRate.noteGrant()
   }
 
-  /** Which of the running requests ended does not matter: the sum of their times is the same. */
+  /** Settles the oldest charge, whichever request ended: the sum of the times is the same. */
   noteEnd(): void {
     const charge = this.#charges.shift()
     if (charge === undefined) return
@@ -90,7 +90,7 @@
   }
 }
 
-/** What a running request was charged when it started. */
+/** The advance charge for a running request. */
 interface Charge {
   readonly startedMs: number
   readonly chargedMs: number
--- a/entry/requests/src/workspaceQuotas.ts
+++ b/entry/requests/src/workspaceQuotas.ts
@@ -1,4 +1,4 @@
-/** What part of a contract's cluster-wide limits this entry may use now. */
+/** This entry's current share of a contract's cluster-wide limits. */
 export interface WorkspaceQuota {
   readonly requestsPerSecond: number
   readonly requestBurst: number
@@ -8,6 +8,6 @@
 }
 
 export abstract class WorkspaceQuotas {
-  /** Undefined where the workspace has no contract. */
+  /** Returns undefined if the workspace has no contract. */
   abstract quotaOf(workspace: string): WorkspaceQuota | undefined
 }
--- a/entry/requests/test/createRouter.ts
+++ b/entry/requests/test/createRouter.ts
@@ -19,11 +19,11 @@
   transport: TaskTransport
   upstreams: readonly UpstreamView[]
   limits?: Partial<ReturnType<typeof createContract>['limits']>
-  /** Contracts beside that of `thapa`. */
+  /** Contracts besides that of `thapa`. */
   others?: readonly Contract[]
 }
 
-/** A router over one workspace `thapa`, with its contract in force. */
+/** Creates a router with the contract of workspace `thapa` in force. */
 export function createRouter(setup: RouterSetup) {
   const { clock, transport } = setup
   const logger = new RecordingLogger()
@@ -63,7 +63,7 @@
   }
 }
 
-/** The text of an answer small enough to have been collected. */
+/** Returns the text of a collected answer. Throws if the answer is a stream. */
 export function readText(answer: ShortAnswer): string {
   if (Buffer.isBuffer(answer.body)) return answer.body.toString('utf8')
   throw new Error('the answer is a stream')
--- a/entry/requests/test/equalShares.test.ts
+++ b/entry/requests/test/equalShares.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check'
 import { EqualShareQuotas } from '../src/index.js'
 
-test('the shares of all entries add up to the contract and no further', (t) => {
+test('the shares of all entries add up to exactly the limits of the contract', (t) => {
   const counts = fc.tuple(
     fc.integer({ min: 1, max: 12 }),
     fc.nat({ max: 100 }),
--- a/entry/requests/test/fairness.test.ts
+++ b/entry/requests/test/fairness.test.ts
@@ -69,7 +69,7 @@
       async (slots, smallWeight, gapsMs, flood) => {
         const { clock, transport, send } = start(slots, { small: smallWeight, large: 1 })
         for (let sent = 0; sent < flood; sent++) void send('large')
-        // Its own share of one slot's time: it may not ask for more than that and keep the bound.
+        // The bound holds only while `small` asks for no more than its share of one slot.
         const restMs = (100 * (1 + smallWeight)) / smallWeight
         for (const gapMs of gapsMs) {
           await clock.advance(gapMs + restMs)
@@ -130,7 +130,7 @@
   t.true(retryAfterMs > 300 && retryAfterMs < 700, `${retryAfterMs}`)
 })
 
-test('what cannot be served before its deadline is refused at once, not when it has passed', async (t) => {
+test('a request that cannot be served before its deadline is refused at once', async (t) => {
   const { clock, send, router, transport } = start(1, { large: 1 })
   for (let sent = 0; sent < 100; sent++) void send('large')
   await clock.advance(2000)
@@ -142,7 +142,7 @@
   t.is(transport.startedMs.length, before)
 })
 
-test('no slot is spent on what has waited until it can no longer end in time', async (t) => {
+test('a request that waited until it can no longer end in time gets no slot', async (t) => {
   const { clock, send, router, transport } = start(1, { large: 1 })
   void send('large')
   void send('large')
--- a/entry/requests/test/forwarder.ts
+++ b/entry/requests/test/forwarder.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 
-/** A TCP forwarder that can lose track of the connections it has, as something between two ends may. */
+/** A TCP forwarder that can silently drop or hold data, as a faulty middlebox does. */
 export class Forwarder {
   readonly #server: Server
   readonly #links = new Set<Link>()
@@ -26,7 +26,7 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`
   }
 
-  /** From now on nothing passes on today's connections: neither way, or not back. */
+  /** Drops all further data on the present connections: in both directions, or only from the far end. */
   silence(way: 'both' | 'back'): void {
     for (const link of this.#links) {
       link.silentBack = true
@@ -34,7 +34,7 @@
     }
   }
 
-  /** From now on what comes is kept back, also when the near end goes. */
+  /** Holds further data from the near end of the present connections, even after the near end has closed. */
   holdForth(): void {
     for (const link of this.#links) {
       link.held ??= []
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Passes on what was held, and resolves when the far ends have answered it. */
+  /** Forwards the held data and resolves when the far ends have answered it. */
   async releaseForth(): Promise<void> {
     const holding = [...this.#links].filter((link) => (link.held?.length ?? 0) > 0)
     await Promise.all(
--- a/entry/requests/test/httpTaskTransport.test.ts
+++ b/entry/requests/test/httpTaskTransport.test.ts
@@ -8,7 +8,7 @@
 
 const clock = new SystemClock()
 
-/** A router over real HTTP to one fake upstream for each way to answer given. */
+/** Starts one fake upstream for each element of `answers`, and a router that reaches them over HTTP. */
 async function start(
   t: ExecutionContext,
   answers: readonly (((task: ReceivedTask) => void) | undefined)[],
@@ -34,7 +34,7 @@
   return { ...created, fakes }
 }
 
-test('each caller gets the answer to its own request, in whatever order they come', async (t) => {
+test('each caller gets the answer to its own request, in whatever order the answers arrive', async (t) => {
   const { router, fakes } = await start(t, [undefined])
   const [fake] = fakes
   if (fake === undefined) return
@@ -62,7 +62,7 @@
   )
 })
 
-test('a truncated answer is never delivered: unknown, or repeated elsewhere where repeatable', async (t) => {
+test('a truncated answer is never delivered: the outcome is unknown, or a repeatable request is retried elsewhere', async (t) => {
   const truncate = (task: ReceivedTask) => {
     task.truncate()
   }
@@ -104,7 +104,7 @@
   }
 })
 
-test('a refusal by the upstream is tried elsewhere, even what is not repeatable', async (t) => {
+test('a request that the upstream refused is retried elsewhere, even if it is not repeatable', async (t) => {
   const { router, fakes } = await start(t, [
     (task) => {
       task.refuse()
@@ -119,7 +119,7 @@
   t.is(fakes.flatMap((fake) => fake.received.value).length, 2)
 })
 
-test('an upstream nobody listens at is passed over; none at all is "no upstream"', async (t) => {
+test('with no upstream listening, a request ends with "no-upstream" and did not run', async (t) => {
   const { router, fakes } = await start(t, [undefined, undefined])
   await Promise.all(fakes.map((fake) => fake.stop()))
   const result = await router.run(createRequest(clock)).run()
--- a/entry/requests/test/localRequestRouter.test.ts
+++ b/entry/requests/test/localRequestRouter.test.ts
@@ -44,12 +44,12 @@
   }
 }
 
-/** The first has by far the most free slots: without a reason not to, it is picked each time. */
+/** The first has by far the most free slots, so it is picked each time unless it is avoided. */
 const upstreams = [100, 8, 8, 8].map((slots, index) =>
   createUpstream({ upstreamId: `u${index + 1}`, address: `127.0.0.1:${index + 1}`, slots }),
 )
 
-test('what is not repeatable is sent at most once where it may run, and "not run" is true', async (t) => {
+test('a request that is not repeatable may run at most once, and an error that says "not run" is right', async (t) => {
   const script = fc.array(fc.constantFrom<Script>('answered', 'not-sent', 'refused', 'lost'))
   await fc.assert(
     fc.asyncProperty(script, fc.boolean(), async (outcomes, repeatable) => {
@@ -74,7 +74,7 @@
   )
 })
 
-test('the workspace never has more in flight, nor an upstream more than its slots, than allowed', async (t) => {
+test('requests in flight never exceed the limit of the workspace or the slots of the upstreams', async (t) => {
   const step = fc.constantFrom<'send' | 'end'>('send', 'send', 'end')
   await fc.assert(
     fc.asyncProperty(
@@ -135,7 +135,7 @@
   t.is(transport.runs.length, 1)
 })
 
-test('a caller that goes away while it waits is forgotten; while it runs, its slot is kept to the end', async (t) => {
+test('a cancelled request leaves the queue if it waits, and keeps its slot to the end if it runs', async (t) => {
   const clock = new ManualClock()
   const transport = new ScriptedTransport([], true)
   const one = [createUpstream({ slots: 1 })]
@@ -156,7 +156,7 @@
   t.true((await next).isRight())
 })
 
-test('the end of the contract lease refuses those who wait and those who come', async (t) => {
+test('once the contract lease has ended, waiting and new requests are refused', async (t) => {
   const clock = new ManualClock()
   const transport = new ScriptedTransport([], true)
   const one = [createUpstream({ slots: 1 })]
@@ -173,7 +173,7 @@
   t.true((await running).isRight())
 })
 
-test('an upstream that leaves or is gone gets nothing new', async (t) => {
+test('an upstream that is leaving or gone gets no new requests', async (t) => {
   const clock = new ManualClock()
   const transport = new ScriptedTransport()
   const two = [
@@ -189,7 +189,7 @@
   t.is(transport.runs.length, 20)
 })
 
-test('at the end of a stop, who waits is told "not run" and who runs "unknown"', async (t) => {
+test('abandonAll ends waiting and later requests as "draining" and running ones as "outcome-unknown"', async (t) => {
   const clock = new ManualClock()
   class EndlessTransport extends TaskTransport {
     override run(task: TaskRun): Promise<TaskOutcome> {
@@ -213,7 +213,7 @@
   t.like((await router.run(createRequest(clock)).run()).extract(), { kind: 'draining' })
 })
 
-test('a queue that was shut down takes nobody, whether or not a slot is free', async (t) => {
+test('a queue that was shut down refuses new requests', async (t) => {
   const clock = new ManualClock()
   const transport = new ScriptedTransport([], true)
   const one = [createUpstream({ slots: 1 })]
--- a/entry/requests/test/silentConnections.test.ts
+++ b/entry/requests/test/silentConnections.test.ts
@@ -8,7 +8,7 @@
 
 const clock = new SystemClock()
 
-/** A router over `count` stand-in upstreams, each behind a forwarder. */
+/** Starts a router over `count` stand-in upstreams, each behind a forwarder. */
 async function start(t: ExecutionContext, count: number, connectionProvenMs = 400) {
   const transport = new HttpTaskTransport({
     clock,
@@ -61,7 +61,7 @@
   t.is(countStarts(), 3)
 })
 
-test('with no other upstream, what never arrived is refused as not run', async (t) => {
+test('with no other upstream, a request that never arrived is refused as not run', async (t) => {
   const { send, countStarts, forwarders } = await start(t, 1)
   t.true((await send('first')).isRight())
   forwarders[0]?.silence('both')
@@ -69,7 +69,7 @@
   t.is(countStarts(), 1)
 })
 
-test('an upstream that may have forgotten is not believed that a request did not run', async (t) => {
+test('if the upstream may have forgotten tasks, the outcome of a request that it does not know is unknown', async (t) => {
   const { send, countStarts, standIns, forwarders } = await start(t, 1)
   const [standIn] = standIns
   standIn?.faults.set({ stall: ['run'] })
@@ -79,7 +79,7 @@
   forwarders[0]?.silence('both')
 })
 
-test('a request that was held up and arrives after it was told not to have run does not run', async (t) => {
+test('a delayed request that arrives after it was reported as not run does not run', async (t) => {
   const { send, countStarts, forwarders } = await start(t, 1)
   t.true((await send('first')).isRight())
   forwarders[0]?.holdForth()
@@ -88,8 +88,8 @@
   t.is(countStarts(), 1)
 })
 
-test('an answer lost on a silent connection is collected on a new one; the old ones carry nothing more', async (t) => {
-  // Asked after half of its time, while the other connection still counts as proven.
+test('an answer lost on a silent connection is collected on a new one; the old connections carry no more requests', async (t) => {
+  // The state is polled after half of the timeout, while the other connection is not stale yet.
   const { send, countStarts, forwarders, standIns } = await start(t, 1, 5000)
   const [standIn] = standIns
   if (standIn === undefined) return
@@ -106,7 +106,7 @@
   t.is(countStarts(), 4)
 })
 
-test('a request that takes long is asked after and its answer awaited', async (t) => {
+test('a long request is polled and its answer awaited', async (t) => {
   const { send, countStarts } = await start(t, 1)
   const answer = (await send('{"runTimeMs":1500,"answer":"late"}')).unsafeCoerce()
   t.is(readText(answer), 'late')
@@ -114,7 +114,7 @@
   t.is(countStarts(), 1)
 })
 
-test('an answer that the upstream holds back is collected by a new question', async (t) => {
+test('an answer that the upstream holds back is collected by a later poll', async (t) => {
   const { send, countStarts, standIns } = await start(t, 1)
   const [standIn] = standIns
   standIn?.faults.set({ loseAnswers: ['run'] })
--- a/entry/requests/test/upstreamRecords.test.ts
+++ b/entry/requests/test/upstreamRecords.test.ts
@@ -21,7 +21,7 @@
   return { clock, records, run }
 }
 
-test('an upstream that fails what it gets is let out, tried with one request, and brought back by doubling', async (t) => {
+test('an upstream that fails its requests is ejected, tried with one request, then with twice as many per success', async (t) => {
   const { clock, records, run } = start()
   for (let failed = 0; failed < 5; failed++) run('u1', 'failed')
   t.false(records.canTakeRequest('u1'))
@@ -47,7 +47,7 @@
   t.true(records.canTakeRequest('u1'))
 })
 
-test('an upstream that slows everything is let out; one that only refuses is not', (t) => {
+test('a slow upstream is ejected; one that only refuses is not', (t) => {
   const { records, run } = start()
   for (let round = 0; round < 30; round++) {
     run('u2', 'answered', 20)
@@ -59,7 +59,7 @@
   t.false(records.canTakeRequest('u1'))
 })
 
-test('at most half of the upstreams are out, whatever fails', (t) => {
+test('at most half of the upstreams are ejected, whatever fails', (t) => {
   const step = fc.tuple(fc.nat({ max: 5 }), fc.constantFrom('answered', 'failed', 'refused'))
   fc.assert(
     fc.property(fc.array(step, { maxLength: 200 }), (steps) => {
@@ -75,7 +75,7 @@
   )
 })
 
-test('an attempt that had less time than an answer takes is no sign against its upstream', async (t) => {
+test('an attempt whose timeout is shorter than the typical answer does not count against its upstream', async (t) => {
   const { clock, records, run } = start()
   for (let round = 0; round < 10; round++) run('u1', 'answered', 200)
   class LosingTransport extends TaskTransport {
