--- a/entry/requests/src/trustedPicker.ts
+++ b/entry/requests/src/trustedPicker.ts
@@ -1,4 +1,4 @@
-/** Picks among the upstreams whose record entitles them to work. */
+/** Picks among the upstreams that are not ejected and, while on trial, have trial capacity left. */
 import type { UpstreamRecords } from './upstreamRecords.js'
 import { UpstreamPicker, type PickedUpstream, type SlotCandidate } from './upstreamPicker.js'
 
@@ -14,7 +14,7 @@
 
   override pick(candidates: readonly SlotCandidate[]): PickedUpstream | undefined {
     return this.#picker.pick(
-      candidates.filter(({ upstream }) => this.#records.mayTake(upstream.upstreamId)),
+      candidates.filter(({ upstream }) => this.#records.canTakeRequest(upstream.upstreamId)),
     )
   }
 }
--- a/entry/requests/src/upstreamRecord.ts
+++ b/entry/requests/src/upstreamRecord.ts
@@ -1,7 +1,7 @@
 /**
- * What this entry has seen of one upstream lately, and how much work that entitles it to. One that fails or
- * slows most of what it is given is let out; after a time that doubles with each relapse it gets one
- * request at a time, and twice as many with each success, until it is trusted again.
+ * Recent outcomes of one upstream as seen by this entry, and how much work it may get (outlier ejection). An
+ * upstream that fails most of its requests, or is slow, is ejected for a time that doubles with each relapse.
+ * It then is on trial: one request at a time, twice as many with each success, until it is trusted again.
  */
 import type { Clock } from '@nettlespur/core.clock'
 
@@ -9,9 +9,9 @@
 const outcomesNeeded = 5
 const failureShareMax = 0.5
 const newestShare = 0.1
-const shortestOutMs = 1000
-const longestOutMs = 60_000
-/** A trial that grew this far has ended. */
+const shortestEjectionMs = 1000
+const longestEjectionMs = 60_000
+/** The trial ends once its limit exceeds this. */
 const trialSlotsMax = 64
 
 export class UpstreamRecord {
@@ -20,33 +20,33 @@
   #outcomes: boolean[] = []
   #meanMs = 0
   #answers = 0
-  #outUntilMs = Number.NEGATIVE_INFINITY
-  #outMs = shortestOutMs
-  /** Requests at a time while on trial; undefined while trusted. */
+  #ejectedUntilMs = Number.NEGATIVE_INFINITY
+  #outMs = shortestEjectionMs
+  /** Maximum concurrent requests while on trial; undefined while trusted. */
   #trialSlots: number | undefined
 
   constructor(clock: Clock) {
     this.#clock = clock
   }
 
-  get isOut(): boolean {
-    return this.#clock.monotonicMs() < this.#outUntilMs
+  get isEjected(): boolean {
+    return this.#clock.monotonicMs() < this.#ejectedUntilMs
   }
 
-  get outUntilMs(): number {
-    return this.#outUntilMs
+  get ejectedUntilMs(): number {
+    return this.#ejectedUntilMs
   }
 
-  get hasRoom(): boolean {
+  get hasTrialCapacity(): boolean {
     return this.#trialSlots === undefined || this.inFlight < this.#trialSlots
   }
 
-  /** Mean time of its answers, in milliseconds; undefined where there are too few. */
+  /** Mean time to an answer; undefined if there were too few answers. */
   get meanMs(): number | undefined {
     return this.#answers < outcomesNeeded ? undefined : this.#meanMs
   }
 
-  get failsMost(): boolean {
+  get hasHighFailureRate(): boolean {
     const failures = this.#outcomes.filter((good) => !good).length
     const seen = this.#outcomes.length
     if (this.#trialSlots !== undefined) return failures > 0
@@ -61,18 +61,18 @@
     this.#trialSlots *= 2
     if (this.#trialSlots <= trialSlotsMax) return
     this.#trialSlots = undefined
-    this.#outMs = shortestOutMs
+    this.#outMs = shortestEjectionMs
   }
 
   noteFailure(): void {
     this.#note(false)
   }
 
-  /** Lets it out for a while; resolves nothing by itself. Returns for how long, in milliseconds. */
-  letOut(): number {
+  /** Ejects the upstream and starts its trial afterwards. Returns the duration of the ejection in milliseconds. */
+  eject(): number {
     const outMs = this.#outMs
-    this.#outUntilMs = this.#clock.monotonicMs() + outMs
-    this.#outMs = Math.min(longestOutMs, outMs * 2)
+    this.#ejectedUntilMs = this.#clock.monotonicMs() + outMs
+    this.#outMs = Math.min(longestEjectionMs, outMs * 2)
     this.#trialSlots = 1
     this.#outcomes = []
     this.#answers = 0
--- a/entry/requests/src/upstreamRecords.ts
+++ b/entry/requests/src/upstreamRecords.ts
@@ -1,20 +1,20 @@
 /**
- * Decides from recent outcomes which upstreams get work from this entry. At most half of those seen are out
- * at a time: where most fail, the cause is not theirs, and somebody has to do the work.
+ * Decides from recent outcomes which upstreams get work from this entry. At most half of the known upstreams
+ * are ejected at a time: if most fail, the cause lies elsewhere, and some upstream has to do the work.
  */
 import type { Clock, Timer } from '@nettlespur/core.clock'
 import type { Logger } from '@nettlespur/core.logger'
 import { BehaviorSubject } from 'rxjs'
 import { UpstreamRecord } from './upstreamRecord.js'
 
-/** An upstream is slow that takes this many times the median of the others. */
+/** An upstream is slow if its mean time is at least this multiple of the median of the others. */
 const slowFactor = 4
-/** Differences below this are not worth a decision. */
+/** Smaller differences from the median never count as slow. */
 const slowFloorMs = 50
-const outShareMax = 0.5
+const ejectedShareMax = 0.5
 const recordsKeptMax = 1024
 
-/** How an attempt ended, as far as it tells of the upstream. */
+/** How an attempt ended, as evidence of the upstream's health. */
 export type AttemptResult = 'answered' | 'failed' | 'refused'
 
 export interface UpstreamRecordsOptions {
@@ -23,7 +23,7 @@
 }
 
 export class UpstreamRecords {
-  /** Raised when an upstream may get work again. */
+  /** Incremented when an ejection ends and the upstream may get work again. */
   readonly changes = new BehaviorSubject(0)
   readonly #opts: UpstreamRecordsOptions
   readonly #timers = new Set<Timer>()
@@ -33,29 +33,29 @@
     this.#opts = opts
   }
 
-  /** Whether it may be given one more request now. */
-  mayTake(upstreamId: string): boolean {
+  /** Whether the upstream may be given one more request now. */
+  canTakeRequest(upstreamId: string): boolean {
     const record = this.#records.get(upstreamId)
-    return record === undefined || (!record.isOut && record.hasRoom)
+    return record === undefined || (!record.isEjected && record.hasTrialCapacity)
   }
 
   noteStart(upstreamId: string): void {
     this.#recordOf(upstreamId).inFlight += 1
   }
 
-  /** A refusal says nothing of an upstream's health. */
+  /** Records the end of an attempt. A refusal says nothing about the upstream's health. */
   noteEnd(upstreamId: string, outcome: { result: AttemptResult; tookMs: number }): void {
     const record = this.#recordOf(upstreamId)
     record.inFlight -= 1
-    // What was under way when it was let out says nothing new.
-    if (record.isOut || outcome.result === 'refused') return
+    // Requests that were in flight at the ejection are no new evidence.
+    if (record.isEjected || outcome.result === 'refused') return
     if (outcome.result === 'answered') record.noteAnswer(outcome.tookMs)
     else record.noteFailure()
     const reason = this.#findReason(record)
-    if (reason !== undefined && this.#mayLetOut()) this.#letOut(upstreamId, record, reason)
+    if (reason !== undefined && this.#canEject()) this.#eject(upstreamId, record, reason)
   }
 
-  /** How long an answer of this upstream takes, in milliseconds; undefined where nothing tells. */
+  /** Returns the upstream's mean time to an answer, else the median of the others, else undefined. */
   typicalMs(upstreamId: string): number | undefined {
     const record = this.#recordOf(upstreamId)
     return record.meanMs ?? this.#medianOfOthers(record)
@@ -65,8 +65,8 @@
     for (const timer of this.#timers) timer.cancel()
   }
 
-  #letOut(upstreamId: string, record: UpstreamRecord, reason: string): void {
-    const outMs = record.letOut()
+  #eject(upstreamId: string, record: UpstreamRecord, reason: string): void {
+    const outMs = record.eject()
     this.#opts.logger.warn({ event: 'upstream.let-out', upstreamId, outMs, reason })
     const timer = this.#opts.clock.setTimer(outMs, () => {
       this.#timers.delete(timer)
@@ -77,7 +77,7 @@
   }
 
   #findReason(record: UpstreamRecord): string | undefined {
-    if (record.failsMost) return 'most of its recent requests failed'
+    if (record.hasHighFailureRate) return 'most of its recent requests failed'
     const ownMs = record.meanMs
     const othersMs = this.#medianOfOthers(record)
     if (ownMs === undefined || othersMs === undefined) return undefined
@@ -91,10 +91,10 @@
     return means[Math.floor(means.length / 2)]
   }
 
-  #mayLetOut(): boolean {
+  #canEject(): boolean {
     const records = [...this.#records.values()]
-    const out = records.filter((record) => record.isOut).length
-    return out + 1 <= records.length * outShareMax
+    const out = records.filter((record) => record.isEjected).length
+    return out + 1 <= records.length * ejectedShareMax
   }
 
   #recordOf(upstreamId: string): UpstreamRecord {
@@ -108,7 +108,7 @@
 
   #forgetOldest(): void {
     for (const [upstreamId, record] of this.#records) {
-      if (record.inFlight > 0 || record.isOut) continue
+      if (record.inFlight > 0 || record.isEjected) continue
       this.#records.delete(upstreamId)
       return
     }
