--- a/batch/service/src/leaderFinder.ts
+++ b/batch/service/src/leaderFinder.ts
@@ -201,7 +201,8 @@
     const addresses = [...new Set([...this.#seeds, ...this.#members])]
     const search = new LeaderSearch(addresses)
     this.#currentSearch = search
-    // Ends the search early: otherwise one member that is down prolongs it by up to 300 ms.
+    // Ends the search early: otherwise one member that is down prolongs it by up to 300 ms, and a read on a silent
+    // connection takes 620 ms instead of 320.
     let stragglers: Timer | undefined
     await new Promise<void>((resolve) => {
       const asked = addresses.map(async (address) => {
